--- a/millweir/adapter/wire.py
+++ b/millweir/adapter/wire.py
@@ -15,7 +15,7 @@
 HEADER = struct.Struct("<IQ")
 LENGTH = struct.Struct("<I")
 CODE = struct.Struct("<H")
-SELECT = BY = struct.Struct("<I")
+SELECT = struct.Struct("<I")
 POWER_ON = struct.Struct("<QI")
 ROSTER = struct.Struct("<HI")
 ENTRY = struct.Struct("<6sBHHBfQ")
--- a/millweir/control.py
+++ b/millweir/control.py
@@ -16,23 +16,42 @@
 from millweir.slow_start import EJECT_AT, FAILED_WEIGHT, REFUSED_WEIGHT, Evidence, SlowStart
 
 WINDOW = 3 * SECOND // 10  # of the send log; longer where the limit lets less than one call through in it
-MILLISECOND, ROUND = SECOND // 1000, SECOND  # ROUND: without a refusal, before the limit is raised
-CUT, CUT_AGAIN, RAISE = 0.5, 0.125, 0.25  # a refusal cuts to this part of own use; a round without one adds
-LEAST, ROUGH = 0.5, 1.5  # of the even share; a rough rate is up to half too high, an exact one bears more
+MILLISECOND = SECOND // 1000
+ROUND = SECOND  # ROUND: without a refusal, before the limit is raised
+CUT = 0.5  # a refusal cuts to this part of own use; a round without one adds
+CUT_AGAIN = 0.125
+RAISE = 0.25
+LEAST = 0.5  # of the even share; a rough rate is up to half too high, an exact one bears more
+ROUGH = 1.5
 ROUTE_SHARE = 3  # a route fills one in so many slots
-STALE_KEPT, STALE_LEAST = 30 * SECOND, SECOND // 2  # idle links go stale: so long kept; idle less: not stale
-STALE_PROOF, STALE_HOSTS = 5 * SECOND, 3  # what is told of all hosts: within that time, by so many of them
-SHARE_DEPTH, FORGOTTEN_AFTER = 2, 60 * SECOND  # seconds of a tenant's share sent at once; a host that left
-FAR, FAR_OFF, MUCH_LEFT, LEARNED = 2, 4, 0.75, 4  # zones; quoted times; unused: not refused for it; outcomes
-LATE, WEIGHED, AT_ONCE = 16, 32, 64  # parts of the quoted time: late turns, loads weighed again; so many
-GATHER, SCARCE = 8, 10 * SECOND  # part of the quoted time for which short calls wait, so long after a cut
+STALE_KEPT = 30 * SECOND  # idle links go stale: so long kept; idle less: not stale
+STALE_LEAST = SECOND // 2
+STALE_PROOF = 5 * SECOND  # what is told of all hosts: within that time, by so many of them
+STALE_HOSTS = 3
+SHARE_DEPTH = 2  # seconds of a tenant's share sent at once; a host that left
+FORGOTTEN_AFTER = 60 * SECOND
+FAR = 2  # zones; quoted times; unused: not refused for it; outcomes
+FAR_OFF = 4
+MUCH_LEFT = 0.75
+LEARNED = 4
+LATE = 16  # parts of the quoted time: late turns, loads weighed again; so many
+WEIGHED = 32
+AT_ONCE = 64
+GATHER = 8  # part of the quoted time for which short calls wait, so long after a cut
+SCARCE = 10 * SECOND
 SPREADS = 6  # overdue past mean latency and so many deviations
-APIECE, APIECE_MOST, RESTS, ASKS = SECOND // 10, 4 * SECOND, 2, 5  # of discovery for each; most; doublings
+APIECE = SECOND // 10  # of discovery for each; most; doublings
+APIECE_MOST = 4 * SECOND
+RESTS = 2
+ASKS = 5
 
 
 def bounds(settings: Settings, limits: Limits) -> Bounds:
     """What the network code keeps to: links, journal, waits for discovery, the stop and the log."""
-    half, memory, head, body = SECOND // 2, limits.memory // 8, 16 << 10, 64 << 10
+    half = SECOND // 2
+    memory = limits.memory // 8
+    head = 16 << 10
+    body = 64 << 10
     watch = min(20 * SECOND, max(2 * SECOND, settings.relays * APIECE * ASKS))  # a fifth of discovery's time
     return Bounds(
         link_life=settings.idle_close * 9 // 10,
@@ -72,34 +91,56 @@
 
     def __init__(self, port: Port, given: Settings, seed: int, now: int) -> None:
         super().__init__()
-        self._port, self._relays, chance = port, max(1, given.relays), random.Random(seed)
-        self._sample, self._random, self._born, self._now = chance.sample, chance.random, now, now
-        self._slots, self._route_slots = given.slots, max(2, given.slots // ROUTE_SHARE)
-        self._max_open, self._max_trips, self._margin = given.max_open, given.max_trips, 2 * given.period
-        self._bundle, self._apart = given.bundle_max, {kind for kind, own in enumerate(given.apart) if own}
+        self._port = port
+        self._relays = max(1, given.relays)
+        chance = random.Random(seed)
+        self._sample = chance.sample
+        self._random = chance.random
+        self._born = now
+        self._now = now
+        self._slots = given.slots
+        self._route_slots = max(2, given.slots // ROUTE_SHARE)
+        self._max_open = given.max_open
+        self._max_trips = given.max_trips
+        self._margin = 2 * given.period
+        self._bundle = given.bundle_max
+        self._apart = {kind for kind, own in enumerate(given.apart) if own}
         self._quotas = [tenant.quota / self._relays for tenant in given.tenants]
         self._shares = [(quota, now) for quota in self._quotas]
         self._left_field, self._limit_field = (  # where a report has them
             given.reports.index(name) if name in given.reports else None for name in ("x0", "x1")
         )
-        self._grace, self._slow = given.drain_grace - self._margin, given.connect_timeout // 2
-        self._quiet, self._fall_time = given.key_quiet, given.fall_time
+        self._grace = given.drain_grace - self._margin
+        self._slow = given.connect_timeout // 2
+        self._quiet = given.key_quiet
+        self._fall_time = given.fall_time
         self._least = LEAST if given.rates_rough else LEAST * ROUGH
-        self._zone, self._known_rates, self._max_wait = given.zone, given.rates_listed, given.max_wait
+        self._zone = given.zone
+        self._known_rates = given.rates_listed
+        self._max_wait = given.max_wait
         self._aim = min((p.quoted for p in given.profiles), default=SECOND)
         self._profiles = [(p, Curve(p, self._aim, given.halves)) for p in given.profiles]
         self._slow_start = SlowStart(given, chance.random, now)
         self._ask_every = given.must_ask_in // 4 if given.must_ask else 0
         gain = sum(p.gain for p in given.profiles) / max(1, len(given.profiles))  # fees: parts of a mean one
         self._fees = {zone: fee * gain for zone, fee in enumerate(given.fees) if any(given.fees)}
-        self._cancels, self._copies, self._over_share = given.cancel, given.second_copies, given.over_share
-        self._span, self._span_at, self._stale_at = NEVER, -NEVER, -NEVER  # nothing learned of idle links,
-        self._swallowed_at = self._tables_at = -NEVER  # nor lost to them, nor of full connection tables
+        self._cancels = given.cancel
+        self._copies = given.second_copies
+        self._over_share = given.over_share
+        self._span = NEVER  # nothing learned of idle links,
+        self._span_at = -NEVER
+        self._stale_at = -NEVER
+        self._swallowed_at = -NEVER  # nor lost to them, nor of full connection tables
+        self._tables_at = -NEVER
         self._destinations: defaultdict[int, Destination] = defaultdict(lambda: Destination(Order()))
         self._drained: defaultdict[int, float] = defaultdict(float)
-        self._spare, self._spare_restored = Order(), Order()  # held, may be dismissed
+        self._spare = Order()  # held, may be dismissed
+        self._spare_restored = Order()
         self._spare_idle = 2 * given.idle_close // self._relays
-        self._order, self._alarm_at, self._leave_at, self._failed_asks = count().__next__, 0, NEVER, 0
+        self._order = count().__next__
+        self._alarm_at = 0
+        self._leave_at = NEVER
+        self._failed_asks = 0
         self.refused_for = RefusalReason.NONE  # what the last refusal was for
         if given.must_ask:
             port.watch()
@@ -118,7 +159,8 @@
 
         `came_at`: when it may have come, where that is earlier: graces begin then (rule 3).
         """
-        self._now, came_at = now, came_at or now
+        self._now = now
+        came_at = came_at or now
         if change is Change.FAILED:
             self._failed_asks += 1  # guards against drains deemed told, never heard of: the watch is renewed
             self._enter(now + min(self._ask_every, SECOND << min(self._failed_asks, 8) >> 2), None)
@@ -133,14 +175,16 @@
         )
         for host in filter(None, map(self._hosts.get, gone)):
             if host in host.destination.hosts:  # kept, lest a list that flaps lose its wait or its doubt
-                host.left_at, self._stirred[host.destination] = host.left_at or came_at, None
+                host.left_at = host.left_at or came_at
+                self._stirred[host.destination] = None
                 del host.destination.hosts[host]
                 self._departed.add(host)
         for entry in entries:
             if entry.phase is not Phase.GONE:
                 host = self._hosts.get(entry.host) or self._meet(entry)
                 told = max(1, now - self._grace) if change is Change.CACHED else came_at  # in an earlier life
-                host.kind, host.ready = entry.kind, entry.phase is Phase.READY
+                host.kind = entry.kind
+                host.ready = entry.phase is Phase.READY
                 out = self._cordoned.get(entry.host, 0)
                 if host.ready and not out:
                     self._back_in_use(host)
@@ -175,7 +219,8 @@
 
     def host_cordoned(self, now: int, ident: bytes, out: bool, since: int) -> bool:
         """By hand: out since then, nothing new after the grace, whatever the list says (rule 3); or back."""
-        host, self._now = self._hosts.get(ident), now
+        host = self._hosts.get(ident)
+        self._now = now
         if host is None and ident not in self._cordoned:
             return False  # no list named it
         if out:
@@ -184,7 +229,8 @@
             self._slow_start.failed(host, EJECT_AT, "uncordoned", now, evidence=Evidence.OWN_CAUSE)  # rule 4
             self._back_in_use(host)
         if host:
-            host.left_at, self._stirred[host.destination] = host.left_at or self._cordoned.get(ident, 0), None
+            host.left_at = host.left_at or self._cordoned.get(ident, 0)
+            self._stirred[host.destination] = None
         return True
 
     def settings_told(self, settings: Settings) -> None:
@@ -195,7 +241,8 @@
     def wait_told(self, now: int, ident: bytes, until: int) -> None:
         """A wait told to a process beside this one binds here too: both are one relay (rule 6)."""
         if (host := self._hosts.get(ident)) and until > host.route.wait_until:
-            host.route.wait_until, self._stirred[host.destination] = until, None
+            host.route.wait_until = until
+            self._stirred[host.destination] = None
             self._slow_start.usable_again(host, now)
 
     def cold_hosts(self) -> list[ColdHost]:
@@ -228,7 +275,8 @@
 
     def refusal(self, destination: int, size: int, room: int, left: int, lag: int) -> int:
         """0 where a packet may be handed in and stored, else how long its client ought to wait."""
-        full, home = self._max_open and self._open >= self._max_open, self._destinations.get(destination)
+        full = self._max_open and self._open >= self._max_open
+        home = self._destinations.get(destination)
         listed = home and home.route  # what no list has named yet may be a destination later, or never
         # Guards rule 1 on a short processor: refused is what could end late, of the rest more as turns lag.
         late = left <= 2 * lag + self._margin or self._random() * lag > self._aim // LATE
@@ -247,7 +295,8 @@
 
         `replaced`: a process beside this one is at work, and has this relay's part of the budgets (rule 4).
         """
-        self._leave_at, self._slow_start.replaced = leave_at, replaced
+        self._leave_at = leave_at
+        self._slow_start.replaced = replaced
 
     def may_write(self, now: int, host: Host, packet: Packet) -> bool:
         """A link came up late: told waits, drains, the end of a known repeat since (rules 6, 3 and 2)."""
@@ -268,7 +317,8 @@
         restored: bool = False,
     ) -> None:
         """A packet was handed in, or is owed from an earlier life; round_over finds room for it."""
-        self._now, home = now, self._destinations[destination]
+        self._now = now
+        home = self._destinations[destination]
         packet = Packet(ident, self._order(), *self._profiles[profile], home, hard_stop)
         packet.gain = packet.profile.gain * self._worth_of_share(tenant)
         packet.restored = restored
@@ -279,7 +329,8 @@
         packet.trips = [Trip(Call(None, sent_at, False), over=True, void=void) for sent_at, void in earlier]
         if packet.key and self._first_risk(packet):
             packet.key.rest_until = now + self._quiet
-        self._packets[ident], self._open = packet, self._open + 1
+        self._packets[ident] = packet
+        self._open += 1
         home.taken += not restored and hard_stop - packet.profile.give_up >= self._born  # of this life alone
         self._enter(hard_stop - self._margin, packet)
         self._hold(packet)
@@ -300,7 +351,8 @@
     def _hold(self, packet: Packet, held: bool = True) -> None:
         """It waits for room, or no longer; what it may do meanwhile changes only where entered here."""
         packet.last = len(packet.trips) + 1 == self._max_trips if held else packet.last
-        packet.held, packet.destination.held = held, packet.destination.held + (1 if held else -1)
+        packet.held = held
+        packet.destination.held += 1 if held else -1
         if not (first := self._first_risk(packet)):
             spare = self._spare_restored if packet.restored else self._spare
             (spare.add if held else spare.remove)(packet, packet.gain)
@@ -310,7 +362,8 @@
 
     def _place(self, packet: Packet) -> None:
         """In the order of those that may go now, or out of it."""
-        weight, key = packet.gain * packet.held * (not packet.lingers), packet.key
+        weight = packet.gain * packet.held * (not packet.lingers)
+        key = packet.key
         if key and weight:
             resting = not packet.trips and key.rest_until > self._now  # rule 5
             if resting and key.line[0] is packet:
@@ -365,7 +418,8 @@
         return worst
 
     def _end(self, packet: Packet) -> None:
-        packet.ended, self._open = True, self._open - 1
+        packet.ended = True
+        self._open -= 1
         self._linger(packet, False)
         if packet.held:
             self._hold(packet, False)
@@ -383,7 +437,8 @@
 
     def packet_withdrawn(self, now: int, ident: int) -> None:
         """Nobody wants the packet any more."""
-        self._now, packet = now, self._packets.get(ident)
+        self._now = now
+        packet = self._packets.get(ident)
         if packet and not packet.ended:
             self._end(packet)
 
@@ -399,11 +454,14 @@
         report: tuple[float, ...],
     ) -> None:
         """A trip has its outcome; unless that finished the packet, its answer is still owed."""
-        self._now, packet = now, self._packets.get(ident)
+        self._now = now
+        packet = self._packets.get(ident)
         if packet is None or number >= len(packet.trips) or packet.trips[number].over:
             return
         trip = packet.trips[number]
-        trip.over, trip.void, packet.out = True, outcome.never_ran, packet.out - 1
+        trip.over = True
+        trip.void = outcome.never_ran
+        packet.out -= 1
         self._judge_call(trip.call, outcome, latency, wait, report)
         if packet.key and outcome.may_run_on:
             packet.key.rest_until = now + self._quiet
@@ -433,22 +491,27 @@
             return self._copies or host is not None  # nobody will hear of the end of such a trip
         known = packet.profile.effect is Effect.REFERENCED and (host is not None or self._copies)
         if packet.profile.repeat_known_by_zone:  # only in the zone where it went first, or not at all
-            known, packet.bound = known and host is not None, host and host.zone
+            known = known and host is not None
+            packet.bound = host and host.zone
         return known and self._now < first + packet.profile.repeat_known - self._margin
 
     def _judge_call(
         self, call: Call, outcome: Outcome, latency: int, wait: int, report: tuple[float, ...]
     ) -> None:
         """One call has one fate, though each packet in it tells of it."""
-        host, route = call.host, call.host.route
+        host = call.host
+        route = call.host.route
         self._stirred[host.destination] = None
         call.left -= 1
         if outcome in (Outcome.FULFILLED, Outcome.FULL, Outcome.FAULT):
             self._tables_at = self._now if self._now - route.turned_at < 2 * ROUND else self._tables_at
-            host.used_at, route.turned = self._now, route.turned * (outcome is Outcome.FULL)
+            host.used_at = self._now
+            route.turned *= outcome is Outcome.FULL
         if not call.left:
             call.trips = []  # no circles, so that nothing waits for the collector
-            route.out, host.out, self._out = route.out - 1, host.out - 1, self._out - 1
+            route.out -= 1
+            host.out -= 1
+            self._out -= 1
             if not host.out and outcome.may_run_on:
                 host.freed_at = self._now  # that link is gone
             host.overdue -= call.late
@@ -461,7 +524,8 @@
             return
         call.judged = True
         if (field := self._limit_field) is not None and len(report) > field and report[field] > 0:
-            route.top, route.share = report[field], report[field] / self._relays
+            route.top = report[field]
+            route.share = report[field] / self._relays
             route.limit = min(route.limit, route.top)  # guards against limits that change in the day
         # A later call is done there: what was given up here before is over as well; a hung host does none.
         done = host.lingering if outcome in (Outcome.FULFILLED, Outcome.FAULT) else ()
@@ -485,7 +549,8 @@
                 sent = sum(at > self._now - ROUND for at in route.log)  # a limit far above use says nothing
                 # Guards sparse senders against starving: what is left tells, in a run of refusals, buckets
                 # full for moments from those that it uses up; firsts are cut so as far as they became runs.
-                again, drained = route.raised_at == NEVER, self._drained[host.kind]
+                again = route.raised_at == NEVER
+                drained = self._drained[host.kind]
                 self._drained[host.kind] += (1 - drained) / LEARNED * again
                 cut = CUT + (max(CUT_AGAIN, CUT * min(1.0, left)) - CUT) * (1 if again else drained)
                 cut *= (0.5 + self._random()) * min(route.limit, route.top, max(1, sent))
@@ -507,7 +572,9 @@
                 # Guards against tables filled by idle links: new ones pause, idle ones to that kind are kept
                 # for less.  Turned away again and again, it may be down (rule 4), but not if it answered.
                 pause = int(ROUND * (0.5 + self._random()))
-                host.clear_at, route.turned, route.turned_at = self._now + pause, route.turned + 1, self._now
+                host.clear_at = self._now + pause
+                route.turned += 1
+                route.turned_at = self._now
                 fresh = host.kind not in self._tight_kinds
                 self._tight_kinds.add(host.kind)
                 for other in self._hosts.values() if fresh else ():
@@ -531,7 +598,8 @@
     def _linger(self, packet: Packet, lingers: bool) -> None:
         """Guards against two trips at once: one given up here runs on there till a later one is done."""
         if lingers is not packet.lingers:
-            packet.lingers, others = lingers, packet.trips[-1].call.host.lingering
+            packet.lingers = lingers
+            others = packet.trips[-1].call.host.lingering
             (others.append if lingers else others.remove)(packet)
 
     def _link_lost(
@@ -544,7 +612,8 @@
         cause = "link reset" if reset else "overdue"
         self._slow_start.failed(host, weight, cause, self._now, call, evidence)
         if call.idle < STALE_LEAST:
-            host.lost, host.stale_at = 0, -NEVER if call.fresh else host.stale_at
+            host.lost = 0
+            host.stale_at = -NEVER if call.fresh else host.stale_at
             return
         host.idle_lost = min(host.idle_lost, call.idle) if host.lost else call.idle
         self._swallowed_at = self._swallowed_at if self._copies else self._now
@@ -555,7 +624,9 @@
         self._stale_at = self._now if lost >= STALE_HOSTS else self._stale_at
         if host.lost > 1 or lost >= STALE_HOSTS:
             known = self._span if self._now - self._span_at <= STALE_KEPT else NEVER
-            self._span, self._span_at, host.stale_at = min(known, host.idle_lost), self._now, self._now
+            self._span = min(known, host.idle_lost)
+            self._span_at = self._now
+            host.stale_at = self._now
 
     def _refresh_links(self, host: Host, call: Call, packets: list[Packet]) -> None:
         call.idle = self._now - host.used_at if host.used_at > host.freed_at else 0
@@ -566,7 +637,9 @@
         known = max(host.stale_at, self._stale_at) > self._now - STALE_KEPT
         if careful or known and self._now - host.freed_at >= self._span * 0.8:
             self._port.free_links(host)
-            host.freed_at, call.idle, call.fresh = self._now, 0, True
+            host.freed_at = self._now
+            call.idle = 0
+            call.fresh = True
 
     def round_over(self, now: int) -> None:
         """All that came in together has been told: send what has room, then sleep until something is due."""
@@ -599,7 +672,8 @@
         """Find the next call of each destination where something has changed."""
         for home in self._stirred:
             self._ready.pop(home, None)
-            home.load, home.weighed_at = self._load(home) if home.held else None, self._now
+            home.load = self._load(home) if home.held else None
+            home.weighed_at = self._now
             if home.load:
                 self._ready[home] = None
                 heappush(self._loads, (-home.load.saved, self._order(), home.load))
@@ -660,7 +734,8 @@
         if call.shared and self._cancels and self._now >= call.stop - self._margin:
             self._give_up(call)
         elif not call.late and self._now >= call.overdue_at:
-            call.late, call.host.overdue = True, call.host.overdue + 1
+            call.late = True
+            call.host.overdue += 1
             self._overdue[call] = self._stirred[call.host.destination] = None
             self._enter(call.yields_at, call)
             silent = call.host.used_at < call.sent_at  # it answered nothing in all that time
@@ -685,7 +760,8 @@
 
     def _has_room(self, host: Host) -> bool:
         """Told waits, the windowed count against the limit, as designed; then what guards slots."""
-        route, now = host.route, self._now
+        route = host.route
+        now = self._now
         opens = max(
             route.wait_until,
             route.resume_at,
@@ -695,7 +771,8 @@
         if opens <= now:
             if route.pressed and route.limit < route.top and now - route.raised_at >= ROUND:
                 route.limit = min(route.top, route.limit + RAISE * max(route.share, route.limit))
-                route.raised_at, route.pressed = now, False
+                route.raised_at = now
+                route.pressed = False
             opens = self._log_opens(route)
             if opens > now:
                 route.pressed = True
@@ -714,7 +791,8 @@
         if not (hosts := self._hosts_with_room(home)):
             return None
         took = min(host.latency for host in hosts) or self._aim // 8
-        kind, route = hosts[0].kind, hosts[0].route
+        kind = hosts[0].kind
+        route = hosts[0].route
         hosts = [host for host in hosts if host.kind == kind]  # a list may be behind on some
         trial = all(self._slow_start.on_trial(host) for host in hosts)
         most = 1 if trial or kind >= len(self._bundle) else self._bundle[kind]
@@ -743,15 +821,19 @@
 
     def _call(self, host: Host, packets: list[Packet]) -> None:
         """One call with all that travels in it; it is logged once."""
-        now, route = self._now, host.route
-        call, patience = Call(host, now, len(packets) > 1), self._patience(host)
+        now = self._now
+        route = host.route
+        call = Call(host, now, len(packets) > 1)
+        patience = self._patience(host)
         self._refresh_links(host, call, packets)
         for packet in packets:
             self._hold(packet, False)
             call.carry(packet)
             self._port.send(packet, host, self._time_out(packet, patience))
         route.log.append(now)
-        route.out, host.out, self._out = route.out + 1, host.out + 1, self._out + 1
+        route.out += 1
+        host.out += 1
+        self._out += 1
         self._slow_start.sent(host, now)
         # Giving up loses what can't go again; where no copies may run, all that no idle link has swallowed.
         lost = any(p.profile.effect is Effect.SINGLE_USE for p in packets)
--- a/millweir/net/clients.py
+++ b/millweir/net/clients.py
@@ -131,7 +131,8 @@
         """The one way to end it from here; `time_out` closes it where the other end does not."""
         if not self.open or self.reason:
             return
-        self.reason, self.begun = reason, clock.steady()
+        self.reason = reason
+        self.begun = clock.steady()
         self._transport.write_eof()
         self._transport.resume_reading()
 
@@ -154,7 +155,10 @@
         counters: Counters,
     ) -> None:
         self.bounds = bounds
-        self._most, self._wake, self._log, self._counters = bounds.client_links, wake, log, counters
+        self._most = bounds.client_links
+        self._wake = wake
+        self._log = log
+        self._counters = counters
         self._links: dict[ClientLink, None] = {}  # the one idle longest first
         self._fresh: deque[tuple[ClientLink, Request]] = deque()
         self._loop = loop
@@ -232,7 +236,8 @@
     async def finish(self, span: int) -> None:
         """The process ends: what was read is answered, every link ended and closed by its client, or `span`
         nanoseconds are over."""
-        self.closing, self._finished = True, self._loop.create_future()
+        self.closing = True
+        self._finished = self._loop.create_future()
         self.close_idle("exit")
         if self._links:
             await asyncio.wait([self._finished], timeout=span / 1e9)
--- a/millweir/net/exchange.py
+++ b/millweir/net/exchange.py
@@ -59,9 +59,16 @@
         `unread`: told in place of `took` where the peer closed a link at rest just as a request was written
         to it.  Without it the request goes once more on a new link, within the patience that it had.
         """
-        self._loop, self._address, self._name, self._most = loop, address, name, most
-        self._more, self._dial_time, self._took, self._unread = more, dial_time / 1e9, took, unread
-        self._log, self._counters = log, counters
+        self._loop = loop
+        self._address = address
+        self._name = name
+        self._most = most
+        self._more = more
+        self._dial_time = dial_time / 1e9
+        self._took = took
+        self._unread = unread
+        self._log = log
+        self._counters = counters
         self.host = f"{address[0]}:{address[1]}".encode()  # for the heads of requests
         self._link: Link | None = None
         self._task: asyncio.Task[None] | None = None
@@ -72,7 +79,8 @@
 
     def ask(self, pieces: list[bytes], patience: int) -> None:
         """Write one request; the patience, in nanoseconds, covers the way there as well."""
-        self._begun, self._pieces = False, pieces
+        self._begun = False
+        self._pieces = pieces
         self._wait(patience)
         if self._link and self._link.open:
             self._link.ask(self, pieces)
--- a/millweir/net/heads.py
+++ b/millweir/net/heads.py
@@ -87,8 +87,15 @@
 
     def __init__(self) -> None:
         self.read_at = 0
-        self.method = self.url = self.id = self.profile = self.account = self.key = self.mark = b""
-        self.left = self.destination = -1
+        self.method = b""
+        self.url = b""
+        self.id = b""
+        self.profile = b""
+        self.account = b""
+        self.key = b""
+        self.mark = b""
+        self.left = -1
+        self.destination = -1
         self.length = 0
         self.once: set[bytes] = set()
         self.body = b""
@@ -102,7 +109,8 @@
     __slots__ = ("_bodies", "_body_most", "_head_most", "_parser", "_request", "_size", "requests")
 
     def __init__(self, head_most: int, body_most: int) -> None:
-        self._head_most, self._body_most = head_most, body_most
+        self._head_most = head_most
+        self._body_most = body_most
         self._parser = httptools.HttpRequestParser(self)
         self._request: Request | None = None
         self._bodies: list[bytes] = []
@@ -140,12 +148,15 @@
         return True
 
     def _fail(self, status: int) -> None:
-        request, self._request = self._request or Request(), None
-        request.fault, request.keep = request.fault or status, False
+        request = self._request or Request()
+        self._request = None
+        request.fault = request.fault or status
+        request.keep = False
         self.requests.append(request)
 
     def on_message_begin(self) -> None:
-        self._request, self._size = Request(), 0
+        self._request = Request()
+        self._size = 0
         self._bodies = []
 
     def on_url(self, url: bytes) -> None:
@@ -250,9 +261,15 @@
 
     def _start(self) -> None:
         self._bodies: list[bytes] = []
-        self.status = self.says = self.wait = 0  # `says`: what a first line says, whatever comes behind it
-        self.body = self.load = b""
-        self._sized = self.begun = self.complete = self.over_slots = False
+        self.status = 0
+        self.says = 0  # what a first line says, whatever comes behind it
+        self.wait = 0
+        self.body = b""
+        self.load = b""
+        self._sized = False
+        self.begun = False
+        self.complete = False
+        self.over_slots = False
         self.keep = True
 
     def feed(self, data: bytes) -> bool:
@@ -264,7 +281,8 @@
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade as fault:  # a word on the way that names another protocol
             self._parser = httptools.HttpResponseParser(self)
-            self._head, self._interims = b"", 0
+            self._head = b""
+            self._interims = 0
             return not data[fault.args[0] :] or self.feed(data[fault.args[0] :])
         except httptools.HttpParserError as fault:
             if not isinstance(fault, httptools.HttpParserInvalidStatusError):
@@ -285,7 +303,8 @@
     def end(self) -> None:
         """The connection ended: an answer without a length is complete now."""
         if self.status and not self.keep and not self._sized:
-            self.body, self.complete = b"".join(self._bodies), True
+            self.body = b"".join(self._bodies)
+            self.complete = True
 
     def on_message_begin(self) -> None:
         self.begun = True
@@ -320,4 +339,5 @@
             self._interims += 1
             self._start()  # only a word on the way
         elif not self.complete:
-            self.body, self.complete = b"".join(self._bodies), True
+            self.body = b"".join(self._bodies)
+            self.complete = True
--- a/millweir/net/hosts.py
+++ b/millweir/net/hosts.py
@@ -76,7 +76,9 @@
         if not parts:
             hosts.keep(self.pool, link)
             return
-        self.link, self._written, self._written_at = link, parts, now
+        self.link = link
+        self._written = parts
+        self._written_at = now
         until = min(self.job.answer_by, max(part.until for part in parts))
         left = max(1, -(-(until - now) // MILLISECOND))
         if len(parts) == 1:
--- a/millweir/net/lag.py
+++ b/millweir/net/lag.py
@@ -15,7 +15,8 @@
     def __init__(self, span: int, now: int) -> None:
         self._span = span
         self._began = now
-        self._most = self._before = 0
+        self._most = 0
+        self._before = 0
 
     def note(self, now: int, waited: int) -> None:
         """Something had its turn after so long."""
--- a/millweir/net/links.py
+++ b/millweir/net/links.py
@@ -135,14 +135,16 @@
 
     def _finish(self) -> None:
         self._stop_timer()
-        asker, self._asker = self._asker, None
+        asker = self._asker
+        self._asker = None
         self.idle_since = clock.steady()
         if not self.reader.keep or self._held:
             self._end("told-close")
         asker.answered(self)
 
     def _fail(self, reason: str) -> None:
-        asker, self._asker = self._asker, None
+        asker = self._asker
+        self._asker = None
         self.spoilt = self.open
         self._end(reason)
         if asker:
@@ -153,7 +155,8 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         reason = self._reason or ("reset" if exc else "peer-closed")
-        was_open, self.open = self.open, False
+        was_open = self.open
+        self.open = False
         self._log.say(f"link-end peer={self._peer} reason={reason} requests={self.asked}")
         if self._asker is not None:
             self.reader.end()
--- a/millweir/net/log.py
+++ b/millweir/net/log.py
@@ -14,14 +14,16 @@
     __slots__ = ("_at", "_left", "_missed", "_rate")
 
     def __init__(self, rate: int) -> None:
-        self._rate = self._left = rate
+        self._rate = rate
+        self._left = rate
         self._at = clock.steady()
         self._missed = 0
 
     def say(self, text: str) -> None:
         now = clock.steady()
         if now - self._at >= SECOND:
-            self._at, self._left = now, self._rate
+            self._at = now
+            self._left = self._rate
             if self._missed:
                 self.must(f"log dropped={self._missed}")
                 self._missed = 0
--- a/millweir/net/notices.py
+++ b/millweir/net/notices.py
@@ -26,7 +26,10 @@
         log: Log,
         counters: Counters,
     ) -> None:
-        self._loop, self._bounds, self._done, self._log = loop, bounds, done, log
+        self._loop = loop
+        self._bounds = bounds
+        self._done = done
+        self._log = log
         self._counters = counters
         self._exchange = self._to(address)
         self._next: Exchange | None = None  # takes its place once what is out has its answer
@@ -50,7 +53,8 @@
     def _change_over(self) -> None:
         if self._next:
             self._exchange.close("moved")
-            self._exchange, self._next = self._next, None
+            self._exchange = self._next
+            self._next = None
 
     @property
     def busy(self) -> bool:
@@ -78,7 +82,8 @@
         self._exchange.ask([head, body], self._bounds.resend)
 
     def _took(self, reader: AnswerReader | None) -> None:
-        sent, self._sent = self._sent, []
+        sent = self._sent
+        self._sent = []
         self._change_over()
         if reader is not None and reader.status == 204:
             self._counters.add("notices_sent", len(sent))
--- a/millweir/records.py
+++ b/millweir/records.py
@@ -129,8 +129,11 @@
 
     def eject_like(self, other: Host) -> None:
         """It has that one's place in its way back."""
-        self.failure_score, self.pace, self.ejected_at = other.failure_score, other.pace, other.ejected_at
-        self.recovered_at, self.last_call_at = other.recovered_at, other.last_call_at
+        self.failure_score = other.failure_score
+        self.pace = other.pace
+        self.ejected_at = other.ejected_at
+        self.recovered_at = other.recovered_at
+        self.last_call_at = other.last_call_at
         self.suspected_at = other.suspected_at
 
     def tight(self, now: int) -> bool:
@@ -219,7 +222,8 @@
         self.stop = min(self.stop, packet.hard_stop)
         self.trips.append((packet, len(packet.trips)))
         packet.trips.append(Trip(self))
-        packet.out, self.left = packet.out + 1, self.left + 1
+        packet.out += 1
+        self.left += 1
 
 
 class Trip:
--- a/tests/net/inside.py
+++ b/tests/net/inside.py
@@ -41,7 +41,9 @@
         self.loop = asyncio.get_running_loop()
         self.link = socket.create_connection(("127.0.0.1", port))
         self.link.setblocking(False)
-        self.read, self.ended, self.reset = b"", False, False
+        self.read = b""
+        self.ended = False
+        self.reset = False
 
     def send(self, raw):
         """All of it into the socket, while the relay's loop stands still; a reset is noted."""
@@ -60,8 +62,10 @@
         except TimeoutError:
             return False
         except OSError:
-            self.reset, more = True, b""
-        self.read, self.ended = self.read + more, self.ended or not more
+            self.reset = True
+            more = b""
+        self.read = self.read + more
+        self.ended = self.ended or not more
         return True
 
     async def end(self, within=SOON):
@@ -101,7 +105,9 @@
     """The loop, but that connections come up only once `open` is set."""
 
     def __init__(self, loop):
-        self._loop, self.open, self.waiting = loop, asyncio.Event(), 0
+        self._loop = loop
+        self.open = asyncio.Event()
+        self.waiting = 0
 
     def __getattr__(self, name):
         return getattr(self._loop, name)
@@ -116,9 +122,14 @@
     """One relay, with its parts at hand: `desk`, and `over`, done when its process would have ended."""
 
     def __init__(self, platform, folder, monkeypatch, config, **bounds):
-        self.platform, self.folder, self.patch = platform, folder / "state", monkeypatch
+        self.platform = platform
+        self.folder = folder / "state"
+        self.patch = monkeypatch
         self.folder.mkdir(exist_ok=True)
-        self.config, self.bounds, self.desk, self.clients = config, bounds, None, []
+        self.config = config
+        self.bounds = bounds
+        self.desk = None
+        self.clients = []
         with socket.create_server(("127.0.0.1", 0)) as free:
             self.port = free.getsockname()[1]
 
--- a/tests/net/test_repeat_window.py
+++ b/tests/net/test_repeat_window.py
@@ -20,8 +20,10 @@
 WINDOW = SECOND
 MARGIN = 2 * STEP
 LAST = WINDOW - MARGIN - 1  # the greatest age at which a repeat may still go out
-NOW, WALL_AHEAD = 1_000 * SECOND, 1_700_000_000 * SECOND
-BOOT, OTHER_BOOT = b"b" * 16, b"o" * 16
+NOW = 1_000 * SECOND
+WALL_AHEAD = 1_700_000_000 * SECOND
+BOOT = b"b" * 16
+OTHER_BOOT = b"o" * 16
 SETTINGS = settings(profiles=tuple(replace(profile, repeat_known=WINDOW) for profile in PROFILES))
 REFERENCED = next(at for at, profile in enumerate(PROFILES) if profile.effect is Effect.REFERENCED)
 
--- a/tests/net/test_told_bound.py
+++ b/tests/net/test_told_bound.py
@@ -17,7 +17,8 @@
 COUNTS_AS_TOLD = 6 * SECOND
 LATENCY = 0.02  # seconds for a dial, and for an answer
 FLEETS = (1, 5, 30, 200, 500)
-AT, MOVED = ("127.0.0.1", 1), ("127.0.0.1", 2)
+AT = ("127.0.0.1", 1)
+MOVED = ("127.0.0.1", 2)
 LEAVES = 1.5  # seconds
 
 
--- a/tests/net/virtual.py
+++ b/tests/net/virtual.py
@@ -66,7 +66,9 @@
 
     def __init__(self, discovery: Discovery, protocol: asyncio.Protocol) -> None:
         super().__init__()
-        self._discovery, self._protocol, self._closed = discovery, protocol, False
+        self._discovery = discovery
+        self._protocol = protocol
+        self._closed = False
         self.dead = False  # nothing comes through any more, either way
 
     def writelines(self, pieces) -> None:
@@ -105,8 +107,13 @@
 
         `closing`: each answer ends its connection, and what is on its way when it leaves still comes.
         """
-        self.loop, self._listed, self._draw, self._latency = loop, listed, draw, latency
-        self._leaves, self._returns, self._silent_links = leaves, returns, silent_links
+        self.loop = loop
+        self._listed = listed
+        self._draw = draw
+        self._latency = latency
+        self._leaves = leaves
+        self._returns = returns
+        self._silent_links = silent_links
         self._closing = closing
         self._links: list[Transport] = []
         loop.network[address] = self
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -85,7 +85,11 @@
     """A trip as the port saw it."""
 
     def __init__(self, packet, number, host, at, time_out):
-        self.packet, self.number, self.host, self.at, self.time_out = packet, number, host, at, time_out
+        self.packet = packet
+        self.number = number
+        self.host = host
+        self.at = at
+        self.time_out = time_out
         self.outcome = None
 
 
@@ -96,11 +100,19 @@
         self.chance = random.Random(seed)
         self.settings = settings(**given)
         self.now = start
-        self.alarms, self.watches, self.freed = [], [], []
-        self.sent, self.taken, self.answers = [], {}, {}
+        self.alarms = []
+        self.watches = []
+        self.freed = []
+        self.sent = []
+        self.taken = {}
+        self.answers = {}
         self.cancelled = []
         self.stirred = True
-        self.left, self.waits, self.rests, self.lines, self.kinds = {}, {}, {}, {}, {}
+        self.left = {}
+        self.waits = {}
+        self.rests = {}
+        self.lines = {}
+        self.kinds = {}
         self.entries = entries or [entry(d, n, kind=d % 2) for d in range(3) for n in range(2)]
         self.relay = Relay(self, self.settings, seed, self.now)
         self.list(Change.CACHED, self.entries)
@@ -326,7 +338,10 @@
     """One request as a stand-in read it."""
 
     def __init__(self, who, line, head, body):
-        self.who, self.at, self.head, self.body = who, time.monotonic(), head, body
+        self.who = who
+        self.at = time.monotonic()
+        self.head = head
+        self.body = body
         self.method, self.path, _ = line.split(" ")
 
     @property
@@ -342,12 +357,19 @@
     """Hosts and discovery; `decide` answers: bytes, bytes and rests, (bytes,) and the end, None, "reset"."""
 
     def __init__(self, hosts=2, kind="small", rate=50.0):
-        self.calls, self.notices, self.notice_calls, self.links, self.open = [], [], 0, 0, {}
+        self.calls = []
+        self.notices = []
+        self.notice_calls = 0
+        self.links = 0
+        self.open = {}
         self.noticed_at = {}  # message: when each of its notices was read
         self.decide = lambda call: reply(200)
-        self.notice_status, self.raw_list, self.silent = 204, None, False
+        self.notice_status = 204
+        self.raw_list = None
+        self.silent = False
         self.changed = threading.Condition()
-        self.index, self.rows = 1, {}
+        self.index = 1
+        self.rows = {}
         self.discovery = self.serve("discovery", self.discover)
         for group in range(10):  # destinations that are listed, with nobody left at them
             self.add(f"left{group}", kind, group, "DRAINING", rate, address="127.0.0.1:9")
@@ -459,7 +481,9 @@
     """The relay as a process of its own."""
 
     def __init__(self, platform, folder: Path, file_most=None, **given):
-        self.platform, self.folder, self.process = platform, folder, None
+        self.platform = platform
+        self.folder = folder
+        self.process = None
         self.config = {
             "seed": "2a",
             "limits": {"memory_mb": 192, "sockets": 256, "disk_mb": 1},
--- a/tests/test_list_changes.py
+++ b/tests/test_list_changes.py
@@ -12,7 +12,8 @@
 from millweir.interface import SECOND, Change, Entry, Outcome, Phase
 from millweir.lab.scale.steps import count_instructions, walk_in_python
 
-DESTINATIONS, HOSTS_EACH = 4, 4
+DESTINATIONS = 4
+HOSTS_EACH = 4
 
 
 @dataclass(slots=True)
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -52,7 +52,10 @@
     __slots__ = ("_fleet", "_seed", "alarm_at", "told", "number", "relay", "settings", "owed", "dead")
 
     def __init__(self, fleet: Fleet, number: int, given: Settings, seed: int) -> None:
-        self._fleet, self.number, self.settings, self._seed = fleet, number, given, seed
+        self._fleet = fleet
+        self.number = number
+        self.settings = given
+        self._seed = seed
         self.told = self.dead = False
         self.alarm_at = 0
         self.owed: dict[int, tuple[int, int]] = {}  # packet: profile and hard stop
@@ -101,7 +104,9 @@
     """All relays, the destination and the clock."""
 
     def __init__(self, case: Case, seed: int) -> None:
-        self.case, self.chance, self.now = case, random.Random(f"{case} {seed}"), SECOND
+        self.case = case
+        self.chance = random.Random(f"{case} {seed}")
+        self.now = SECOND
         listed = [entry(0, number, kind=1, rate=case.rate) for number in range(case.hosts)]
         self.entries: tuple[Entry, ...] = tuple(listed)
         self.settings = settings(
