--- a/benchmarks/held.py
+++ b/benchmarks/held.py
@@ -28,8 +28,8 @@
     from millweir.interface import SECOND, Change, Effect, Entry, Limits, Outcome, Phase, Profile, Settings
 
     profiles = tuple(
-        Profile(effect.value, gain, 5 * SECOND // 2, 600 * SECOND, 0.4, effect, 6 * SECOND, False, False)
-        for effect, gain in ((Effect.REPLAYABLE, 2.0), (Effect.SINGLE_USE, 1.0))
+        Profile(effect.value, value, 5 * SECOND // 2, 600 * SECOND, 0.4, effect, 6 * SECOND, False, False)
+        for effect, value in ((Effect.REPLAYABLE, 2.0), (Effect.SINGLE_USE, 1.0))
     )
     settings = Settings(
         relays=1,
@@ -83,8 +83,8 @@
         while job := facade.pick():
             out.append(job)
 
-    while facade._relay._open < held + slots:
-        for _ in range(min(100, held + slots - facade._relay._open)):
+    while facade._relay._open_packets < held + slots:
+        for _ in range(min(100, held + slots - facade._relay._open_packets)):
             take()
         now += 1_000_000
         tick()
--- a/millweir/adapter/wire.py
+++ b/millweir/adapter/wire.py
@@ -136,7 +136,7 @@
         for number in touched:
             relay = self._relays.get(number)
             if relay is not None:
-                self._guard(number, relay.round_over, now)
+                self._guard(number, relay.end_round, now)
             port = self._ports.get(number)
             written = port.take() if port else b""
             if written:
@@ -169,7 +169,7 @@
                 told = wait * 1_000_000 if reason == 503 else 0
                 self._guard(
                     number,
-                    relay.trip_ended,
+                    relay.end_trip,
                     now,
                     ident,
                     copy,
@@ -184,7 +184,7 @@
             ident, profile, tenant, key, not_after, _, bound, _ = ORDER.unpack_from(body, at)
             if relay is not None:
                 self._guard(
-                    number, relay.packet_taken, now, ident, profile, tenant, key, not_after * 1000, int(bound)
+                    number, relay.add_packet, now, ident, profile, tenant, key, not_after * 1000, int(bound)
                 )
             return at + ORDER.size
         if code == 1060:
@@ -193,7 +193,7 @@
         if code == 1050:
             (ident,) = WITHDRAWN.unpack_from(body, at)
             if relay is not None:
-                self._guard(number, relay.packet_withdrawn, now, ident)
+                self._guard(number, relay.withdraw_packet, now, ident)
             return at + WITHDRAWN.size
         if code == 1010:
             _, roster, kind = TARGETS.unpack_from(body, at)
@@ -204,7 +204,7 @@
             if rows is None:
                 raise Malformed(f"targets at byte {at} names list {roster}, which was never given")
             if relay is not None:
-                self._guard(number, relay.list_told, now, change, rows)
+                self._guard(number, relay.update_hosts, now, change, rows)
             return at + TARGETS.size
         if code == 1070:
             *_, n = PROBED.unpack_from(body, at)  # the module sends no probes
--- a/millweir/control.py
+++ b/millweir/control.py
@@ -1,7 +1,18 @@
-"""Every decision of a relay: which packet goes to which host, when, and what it is told in the end.
-
-Make one Relay with a port, settings, seed and clock; tell it each thing that happens by one method, then call
-round_over.  Types and port: interface.py; records: records.py; held packets: order.py; see docs/design.md."""
+"""The decision core of a relay: which packet goes to which host and when, and how each packet ends.
+
+Create one `Relay` with a port, settings, a seed and the time.  Report each event through its method, then
+call `end_round`; the relay acts through the port.  It does no I/O and has no clock: every call is given the
+time.  Types and the port are in interface.py, records in records.py, the queues of held packets in order.py;
+the design is in docs/design.md.
+
+What the decisions keep to:
+  every accepted packet gets exactly one final outcome, in time (rule 1);
+  no packet takes effect twice (rule 2);
+  nothing new is sent to a draining or removed host after the grace period (rule 3);
+  a recovering host is not overloaded: slow start (rule 4);
+  packets with the same key keep their order (rule 5);
+  a retry-after wait is binding for all packets to that destination (rule 6).
+"""
 
 import random
 from collections import defaultdict
@@ -12,437 +23,570 @@
 from millweir.events import ColdHost, EndReason, HostTransition, HostView, RefusalReason
 from millweir.interface import SECOND, Bounds, Change, Effect, Entry, Limits, Outcome, Phase, Port, Settings
 from millweir.order import Curve, Order
-from millweir.records import NEVER, Books, Call, Destination, Due, Host, Key, Load, Packet, Route, Trip
+from millweir.records import (
+    NEVER,
+    Call,
+    CandidateCall,
+    Destination,
+    Host,
+    OrderingKey,
+    Packet,
+    RateLimitScope,
+    RelayState,
+    TimerSubject,
+    Trip,
+)
 from millweir.slow_start import EJECT_AT, FAILED_WEIGHT, REFUSED_WEIGHT, Evidence, SlowStart
 
-WINDOW = 3 * SECOND // 10  # of the send log; longer where the limit lets less than one call through in it
+# Sent calls are counted against the limit over this window; over a longer one where the limit allows less
+# than one call in it.
+SEND_WINDOW_NS = 3 * SECOND // 10
 MILLISECOND = SECOND // 1000
-ROUND = SECOND  # ROUND: without a refusal, before the limit is raised
-CUT = 0.5  # a refusal cuts to this part of own use; a round without one adds
-CUT_AGAIN = 0.125
-RAISE = 0.25
-LEAST = 0.5  # of the even share; a rough rate is up to half too high, an exact one bears more
-ROUGH = 1.5
-ROUTE_SHARE = 3  # a route fills one in so many slots
-STALE_KEPT = 30 * SECOND  # idle links go stale: so long kept; idle less: not stale
-STALE_LEAST = SECOND // 2
-STALE_PROOF = 5 * SECOND  # what is told of all hosts: within that time, by so many of them
-STALE_HOSTS = 3
-SHARE_DEPTH = 2  # seconds of a tenant's share sent at once; a host that left
-FORGOTTEN_AFTER = 60 * SECOND
-FAR = 2  # zones; quoted times; unused: not refused for it; outcomes
-FAR_OFF = 4
-MUCH_LEFT = 0.75
-LEARNED = 4
-LATE = 16  # parts of the quoted time: late turns, loads weighed again; so many
-WEIGHED = 32
-AT_ONCE = 64
-GATHER = 8  # part of the quoted time for which short calls wait, so long after a cut
-SCARCE = 10 * SECOND
-SPREADS = 6  # overdue past mean latency and so many deviations
-APIECE = SECOND // 10  # of discovery for each; most; doublings
-APIECE_MOST = 4 * SECOND
-RESTS = 2
-ASKS = 5
+AIMD_INTERVAL_NS = SECOND  # without a refusal, before the limit is increased
+
+# Factors of the additive-increase, multiplicative-decrease (AIMD) limit.
+BACK_OFF_FACTOR = 0.5  # of the rate in use, after a first refusal
+REPEATED_BACK_OFF_FACTOR = 0.125  # of the rate in use, after a refusal that follows another one
+INCREASE_FACTOR = 0.25  # of limit or fair share (the larger), added after an interval without a refusal
+MIN_LIMIT_FACTOR = 0.5  # of the fair share: the limit never backs off below it
+# Raises that minimum after a first refusal where listed rates are exact; a rough one is up to half too high.
+EXACT_RATE_FACTOR = 1.5
+
+SCOPE_SLOTS_DIVISOR = 3  # a rate limit scope may fill one in so many slots
+
+# Idle connections that a device on the path has dropped (stale connections).
+STALE_MEMORY_NS = 30 * SECOND  # for how long an observation counts
+MIN_STALE_IDLE_NS = SECOND // 2  # a connection that was idle for less is not stale
+STALE_EVIDENCE_WINDOW_NS = 5 * SECOND  # losses at several hosts within it count for all hosts
+STALE_EVIDENCE_HOSTS = 3
+
+TENANT_BURST_SECONDS = 2  # of its quota that a tenant may send at once
+FORGET_HOST_AFTER_NS = 60 * SECOND  # since it left the list
+REMOTE_ZONE_COST_FACTOR = 2
+EVICTION_BACKLOG_TARGETS = 4  # target latencies of backlog beyond which a destination's packets go first
+UNUSED_LIMIT_FRACTION = 0.75  # a refusal with more of the limit unused than that has another cause
+LEARNING_OUTCOMES = 4  # outcomes that the learned share of repeated refusals averages over
+
+# The divisors give a time as a part of the target latency.
+LAG_DIVISOR = 16  # loop lag beyond it: packets are refused at random
+REEVALUATION_DIVISOR = 32  # age at which a candidate call is evaluated again
+MAX_REEVALUATIONS = 64  # of unchanged destinations at a time
+BATCH_WAIT_DIVISOR = 8  # for how long a batch that is not full waits for more packets
+BATCH_WAIT_AFTER_BACK_OFF_NS = 10 * SECOND  # batches wait only so long after the limit backed off
+
+OVERDUE_DEVIATIONS = 6  # a call is overdue past the mean latency and so many mean deviations
+
+# The load on discovery, which all relays share.
+DISCOVERY_BACK_OFF_PER_RELAY_NS = SECOND // 10  # of discovery's time, for each relay
+MAX_DISCOVERY_BACK_OFF_NS = 4 * SECOND
+MAX_BACK_OFF_DOUBLINGS = 2
+WATCH_BACK_OFFS = 5  # a watch lasts so many back-offs, so that watches take a fifth of discovery's time
 
 
 def bounds(settings: Settings, limits: Limits) -> Bounds:
-    """What the network code keeps to: links, journal, waits for discovery, the stop and the log."""
-    half = SECOND // 2
-    memory = limits.memory // 8
-    head = 16 << 10
-    body = 64 << 10
-    watch = min(20 * SECOND, max(2 * SECOND, settings.relays * APIECE * ASKS))  # a fifth of discovery's time
+    """Derive the limits of the network code: connections, journal, discovery, shutdown and log."""
+    half_second = SECOND // 2
+    memory_part = limits.memory // 8
+    head_bytes = 16 << 10
+    body_bytes = 64 << 10
+    watch = min(
+        20 * SECOND, max(2 * SECOND, settings.relays * DISCOVERY_BACK_OFF_PER_RELAY_NS * WATCH_BACK_OFFS)
+    )
     return Bounds(
+        # An idle connection is closed before the host closes it.
         link_life=settings.idle_close * 9 // 10,
-        linger=half,
-        rest=APIECE_MOST,  # idle: closed
+        linger=half_second,
+        rest=MAX_DISCOVERY_BACK_OFF_NS,
         host_links=limits.descriptors // 4,
-        ids_known=memory >> 10,
-        head_most=head,
-        body_most=body,
-        client_links=min(limits.descriptors // 3, memory // (head + body)),
-        request=4 * half,
-        doubtful=half,
+        ids_known=memory_part >> 10,
+        head_most=head_bytes,
+        body_most=body_bytes,
+        client_links=min(limits.descriptors // 3, memory_part // (head_bytes + body_bytes)),
+        request=4 * half_second,
+        doubtful=half_second,
+        # Two files fit on the disk, as compaction writes a second one.
         journal_file=limits.disk // 2,
-        journal_live=limits.disk * 3 // 8,  # two fit
+        journal_live=limits.disk * 3 // 8,
         resend=SECOND,
         redial=SECOND // 20,
         watch=watch,
-        silence=watch + half,
-        lag_kept=half // 2,
-        proofs=(SECOND, SECOND, 3 * half),
+        silence=watch + half_second,
+        lag_kept=half_second // 2,
+        proofs=(SECOND, SECOND, 3 * half_second),
         opening=5 * SECOND // 4,
         leave=33 * SECOND // 10,
         parting=SECOND // 5,
         log_lines=200,
         notices=500,
-        answer_most=body,
-        answer_time=half,
+        answer_most=body_bytes,
+        answer_time=half_second,
         hold=SECOND // 500,
-        list_most=min(16 << 20, memory),
+        list_most=min(16 << 20, memory_part),
         turn_reads=64,
         turn_calls=16,
     )
 
 
-class Relay(Books):
-    """One relay: it sees only its own traffic and shares nothing."""
+class Relay(RelayState):
+    """One relay's decisions; it sees only its own traffic and shares nothing with other relays."""
 
-    def __init__(self, port: Port, given: Settings, seed: int, now: int) -> None:
+    def __init__(self, port: Port, settings: Settings, seed: int, now: int) -> None:
         super().__init__()
         self._port = port
-        self._relays = max(1, given.relays)
-        chance = random.Random(seed)
-        self._sample = chance.sample
-        self._random = chance.random
-        self._born = now
+        self._relay_count = max(1, settings.relays)
+        rng = random.Random(seed)
+        self._sample = rng.sample
+        self._random = rng.random
+        self._started_at = now
         self._now = now
-        self._slots = given.slots
-        self._route_slots = max(2, given.slots // ROUTE_SHARE)
-        self._max_open = given.max_open
-        self._max_trips = given.max_trips
-        self._margin = 2 * given.period
-        self._bundle = given.bundle_max
-        self._apart = {kind for kind, own in enumerate(given.apart) if own}
-        self._quotas = [tenant.quota / self._relays for tenant in given.tenants]
-        self._shares = [(quota, now) for quota in self._quotas]
-        self._left_field, self._limit_field = (  # where a report has them
-            given.reports.index(name) if name in given.reports else None for name in ("x0", "x1")
+        self._slots = settings.slots
+        self._scope_slots = max(2, settings.slots // SCOPE_SLOTS_DIVISOR)
+        self._max_open = settings.max_open
+        self._max_trips = settings.max_trips
+        self._margin = 2 * settings.period
+        self._max_batch = settings.bundle_max
+        self._per_host_kinds = {kind for kind, own in enumerate(settings.apart) if own}
+        self._tenant_quotas = [tenant.quota / self._relay_count for tenant in settings.tenants]
+        self._tenant_buckets = [(quota, now) for quota in self._tenant_quotas]
+        # Positions of the remaining fraction and of the limit in a host's report.
+        self._remaining_field, self._limit_field = (
+            settings.reports.index(name) if name in settings.reports else None for name in ("x0", "x1")
         )
-        self._grace = given.drain_grace - self._margin
-        self._slow = given.connect_timeout // 2
-        self._quiet = given.key_quiet
-        self._fall_time = given.fall_time
-        self._least = LEAST if given.rates_rough else LEAST * ROUGH
-        self._zone = given.zone
-        self._known_rates = given.rates_listed
-        self._max_wait = given.max_wait
-        self._aim = min((p.quoted for p in given.profiles), default=SECOND)
-        self._profiles = [(p, Curve(p, self._aim, given.halves)) for p in given.profiles]
-        self._slow_start = SlowStart(given, chance.random, now)
-        self._ask_every = given.must_ask_in // 4 if given.must_ask else 0
-        gain = sum(p.gain for p in given.profiles) / max(1, len(given.profiles))  # fees: parts of a mean one
-        self._fees = {zone: fee * gain for zone, fee in enumerate(given.fees) if any(given.fees)}
-        self._cancels = given.cancel
-        self._copies = given.second_copies
-        self._over_share = given.over_share
-        self._span = NEVER  # nothing learned of idle links,
-        self._span_at = -NEVER
-        self._stale_at = -NEVER
-        self._swallowed_at = -NEVER  # nor lost to them, nor of full connection tables
-        self._tables_at = -NEVER
+        self._drain_grace = settings.drain_grace - self._margin
+        self._slow_connect_time = settings.connect_timeout // 2
+        self._key_quiet_time = settings.key_quiet
+        self._fall_time = settings.fall_time
+        self._min_limit_factor = (
+            MIN_LIMIT_FACTOR if settings.rates_rough else MIN_LIMIT_FACTOR * EXACT_RATE_FACTOR
+        )
+        self._zone = settings.zone
+        self._rates_listed = settings.rates_listed
+        self._max_retry_after = settings.max_wait
+        self._target_latency = min((p.quoted for p in settings.profiles), default=SECOND)
+        self._profiles = [(p, Curve(p, self._target_latency, settings.halves)) for p in settings.profiles]
+        self._slow_start = SlowStart(settings, rng.random, now)
+        self._watch_retry_limit = settings.must_ask_in // 4 if settings.must_ask else 0
+        # Fees are given as fractions of the mean value of a packet.
+        mean_value = sum(p.value for p in settings.profiles) / max(1, len(settings.profiles))
+        self._fees = {zone: fee * mean_value for zone, fee in enumerate(settings.fees) if any(settings.fees)}
+        self._may_cancel = settings.cancel
+        self._allows_second_copies = settings.second_copies
+        self._over_quota_factor = settings.over_share
+        # Nothing is known yet of stale connections, of packets lost on them, or of full connection tables.
+        self._stale_idle_time = NEVER
+        self._stale_idle_time_at = -NEVER
+        self._all_stale_at = -NEVER
+        self._idle_loss_at = -NEVER
+        self._table_freed_at = -NEVER
         self._destinations: defaultdict[int, Destination] = defaultdict(lambda: Destination(Order()))
-        self._drained: defaultdict[int, float] = defaultdict(float)
-        self._spare = Order()  # held, may be dismissed
-        self._spare_restored = Order()
-        self._spare_idle = 2 * given.idle_close // self._relays
-        self._order = count().__next__
+        # By kind: the learned fraction of refusals that are followed by another one.
+        self._refusal_run_rate: defaultdict[int, float] = defaultdict(float)
+        # Held packets that may be dismissed, as none of their trips may have run.
+        self._dismissible = Order()
+        self._dismissible_restored = Order()
+        self._full_table_idle_time = 2 * settings.idle_close // self._relay_count
+        self._next_number = count().__next__
         self._alarm_at = 0
-        self._leave_at = NEVER
-        self._failed_asks = 0
-        self.refused_for = RefusalReason.NONE  # what the last refusal was for
-        if given.must_ask:
+        self._stop_at = NEVER
+        self._failed_watches = 0
+        self.refusal_reason = RefusalReason.NONE  # of the last call of check_admission
+        if settings.must_ask:
             port.watch()
 
-    def transition(self) -> HostTransition | None:
-        """The next change of a host's state that was not picked up yet."""
+    def pop_transition(self) -> HostTransition | None:
+        """Return the next change of a host's state that was not fetched yet."""
         return self._slow_start.transitions.popleft() if self._slow_start.transitions else None
 
-    def host_view(self, ident: bytes) -> HostView | None:
-        """What is believed of a host; None for one that no list names or is remembered from."""
+    def view_host(self, ident: bytes) -> HostView | None:
+        """Return what is known of a host; None where it is neither listed nor remembered."""
         host = self._hosts.get(ident)
-        return host and HostView(self._slow_start.state(host), host.well_at, host.route.limit)
+        return host and HostView(self._slow_start.state(host), host.last_success_at, host.limit_scope.limit)
 
-    def list_told(self, now: int, change: Change, entries: tuple[Entry, ...], came_at: int = 0) -> None:
-        """News of the list: changes, or the whole of it, in which case what is not in it is gone.
+    def update_hosts(
+        self, now: int, change: Change, entries: tuple[Entry, ...], earliest_received_at: int = 0
+    ) -> None:
+        """Apply an update of the host list; in a full list, hosts that are missing have been removed.
 
-        `came_at`: when it may have come, where that is earlier: graces begin then (rule 3).
+        `earliest_received_at`: when the update may have arrived, if before now; grace periods start then.
         """
         self._now = now
-        came_at = came_at or now
+        earliest_received_at = earliest_received_at or now
         if change is Change.FAILED:
-            self._failed_asks += 1  # guards against drains deemed told, never heard of: the watch is renewed
-            self._enter(now + min(self._ask_every, SECOND << min(self._failed_asks, 8) >> 2), None)
+            # The platform counts a drain as received after a fixed time, so the watch is renewed soon.
+            self._failed_watches += 1
+            self._set_timer(
+                now + min(self._watch_retry_limit, SECOND << min(self._failed_watches, 8) >> 2), None
+            )
             return
-        self._failed_asks *= change is Change.CACHED
-        for host in self._departed.take_idle(now - FORGOTTEN_AFTER):
+        self._failed_watches *= change is Change.CACHED
+        for host in self._departed_hosts.take_idle(now - FORGET_HOST_AFTER_NS):
             self._slow_start.forget(self._hosts.pop(host.id))
-        gone = (
+        removed_ids = (
             [entry.host for entry in entries if entry.phase is Phase.GONE]
             if change is Change.DELTA
             else filterfalse({entry.host for entry in entries}.__contains__, self._hosts)
         )
-        for host in filter(None, map(self._hosts.get, gone)):
-            if host in host.destination.hosts:  # kept, lest a list that flaps lose its wait or its doubt
-                host.left_at = host.left_at or came_at
-                self._stirred[host.destination] = None
+        for host in filter(None, map(self._hosts.get, removed_ids)):
+            if host in host.destination.hosts:
+                # The record stays for a while: a flapping list must not clear its wait or its failure score.
+                host.drain_started_at = host.drain_started_at or earliest_received_at
+                self._dirty[host.destination] = None
                 del host.destination.hosts[host]
-                self._departed.add(host)
+                self._departed_hosts.add(host)
         for entry in entries:
             if entry.phase is not Phase.GONE:
-                host = self._hosts.get(entry.host) or self._meet(entry)
-                told = max(1, now - self._grace) if change is Change.CACHED else came_at  # in an earlier life
+                host = self._hosts.get(entry.host) or self._register_host(entry)
+                # A cached list was received before the restart: its grace periods have passed.
+                notified_at = (
+                    max(1, now - self._drain_grace) if change is Change.CACHED else earliest_received_at
+                )
                 host.kind = entry.kind
                 host.ready = entry.phase is Phase.READY
-                out = self._cordoned.get(entry.host, 0)
-                if host.ready and not out:
-                    self._back_in_use(host)
+                cordoned_at = self._cordoned.get(entry.host, 0)
+                if host.ready and not cordoned_at:
+                    self._resume_use(host)
                 else:
-                    host.left_at = host.left_at or out or told
-                self._stirred[host.destination] = host.destination.hosts[host] = None
-                self._departed.discard(host)
-                if self._known_rates and entry.rate > 0 and entry.rate != host.route.listed:
-                    host.route.listed = host.route.top = entry.rate  # a listed rate may change in the day
-                    host.route.share = entry.rate / self._relays
-
-    def _meet(self, entry: Entry) -> Host:
-        home = self._destinations[entry.destination]
-        route = None if entry.kind in self._apart else home.route
-        if route is None:
-            top = entry.rate if self._known_rates and entry.rate > 0 else float(NEVER)
-            route = home.route = Route(top if top < NEVER else 1.0, top / self._relays, top, self._now)
-            route.limit = min(top, max((route.share * top) ** 0.5, SECOND / ROUND))
-        fee = self._fees.get(entry.zone, 0.0) * (entry.kind in self._apart)
-        host = self._hosts[entry.host] = Host(entry, home, route, fee)
-        if route.last_ejected and route.last_ejected.pace and all(other.pace for other in home.hosts):
-            host.eject_like(route.last_ejected)  # guards rule 4: all that is held would go there at once
+                    host.drain_started_at = host.drain_started_at or cordoned_at or notified_at
+                self._dirty[host.destination] = host.destination.hosts[host] = None
+                self._departed_hosts.discard(host)
+                if self._rates_listed and entry.rate > 0 and entry.rate != host.limit_scope.listed_rate:
+                    # The listed rate may change while the relay runs.
+                    host.limit_scope.listed_rate = host.limit_scope.max_limit = entry.rate
+                    host.limit_scope.fair_share = entry.rate / self._relay_count
+
+    def _register_host(self, entry: Entry) -> Host:
+        destination = self._destinations[entry.destination]
+        scope = None if entry.kind in self._per_host_kinds else destination.limit_scope
+        if scope is None:
+            max_limit = entry.rate if self._rates_listed and entry.rate > 0 else float(NEVER)
+            scope = destination.limit_scope = RateLimitScope(
+                max_limit if max_limit < NEVER else 1.0, max_limit / self._relay_count, max_limit, self._now
+            )
+            scope.limit = min(
+                max_limit, max((scope.fair_share * max_limit) ** 0.5, SECOND / AIMD_INTERVAL_NS)
+            )
+        fee = self._fees.get(entry.zone, 0.0) * (entry.kind in self._per_host_kinds)
+        host = self._hosts[entry.host] = Host(entry, destination, scope, fee)
+        if (
+            scope.last_ejected
+            and scope.last_ejected.slow_start_rate
+            and all(other.slow_start_rate for other in destination.hosts)
+        ):
+            # All others are recovering: without their state this host would be sent all held packets at once.
+            host.copy_ejection(scope.last_ejected)
             self._slow_start.usable_again(host, self._now)
         self._slow_start.recall(host, self._now)
         return host
 
-    def _back_in_use(self, host: Host) -> None:
-        """It leaves no more: a drain undone, in the list again, a cordon lifted."""
-        if host.left_at:
-            host.left_at = 0
+    def _resume_use(self, host: Host) -> None:
+        """End a drain that was undone, a removal that was reversed, or a cordon that was lifted."""
+        if host.drain_started_at:
+            host.drain_started_at = 0
             self._slow_start.usable_again(host, self._now)
 
-    def host_cordoned(self, now: int, ident: bytes, out: bool, since: int) -> bool:
-        """By hand: out since then, nothing new after the grace, whatever the list says (rule 3); or back."""
+    def set_cordon(self, now: int, ident: bytes, cordoned: bool, since: int) -> bool:
+        """Take a host out of use or put it back; return False for a host that no list has named.
+
+        A cordoned host is sent nothing new after the grace period, whatever the list says.
+        """
         host = self._hosts.get(ident)
         self._now = now
         if host is None and ident not in self._cordoned:
-            return False  # no list named it
-        if out:
+            return False
+        if cordoned:
             self._cordoned.setdefault(ident, since)
         elif self._cordoned.pop(ident, 0) and host and host.ready:
-            self._slow_start.failed(host, EJECT_AT, "uncordoned", now, evidence=Evidence.OWN_CAUSE)  # rule 4
-            self._back_in_use(host)
+            # It returns through slow start, so that it is not overloaded.
+            self._slow_start.failed(host, EJECT_AT, "uncordoned", now, evidence=Evidence.OWN_CAUSE)
+            self._resume_use(host)
         if host:
-            host.left_at = host.left_at or self._cordoned.get(ident, 0)
-            self._stirred[host.destination] = None
+            host.drain_started_at = host.drain_started_at or self._cordoned.get(ident, 0)
+            self._dirty[host.destination] = None
         return True
 
-    def settings_told(self, settings: Settings) -> None:
-        """SIGHUP: its profiles come after the known ones, packets under way keep theirs; fewer trips bind."""
-        self._profiles += [(p, Curve(p, self._aim, settings.halves)) for p in settings.profiles]
+    def update_settings(self, settings: Settings) -> None:
+        """Apply settings that were reloaded at SIGHUP.
+
+        New profiles are appended, so packets in flight keep theirs; a lower limit of trips holds at once.
+        """
+        self._profiles += [(p, Curve(p, self._target_latency, settings.halves)) for p in settings.profiles]
         self._max_trips = settings.max_trips
 
-    def wait_told(self, now: int, ident: bytes, until: int) -> None:
-        """A wait told to a process beside this one binds here too: both are one relay (rule 6)."""
-        if (host := self._hosts.get(ident)) and until > host.route.wait_until:
-            host.route.wait_until = until
-            self._stirred[host.destination] = None
+    def apply_retry_after(self, now: int, ident: bytes, until: int) -> None:
+        """Apply a retry-after that a process beside this one received: both are the same relay."""
+        if (host := self._hosts.get(ident)) and until > host.limit_scope.retry_after_until:
+            host.limit_scope.retry_after_until = until
+            self._dirty[host.destination] = None
             self._slow_start.usable_again(host, now)
 
-    def cold_hosts(self) -> list[ColdHost]:
-        """The hosts that slow start holds back, for the process after this one and the one beside it."""
+    def list_recovering_hosts(self) -> list[ColdHost]:
+        """List the hosts in slow start, for the next process of this relay and for the one beside it."""
         return self._slow_start.cold_hosts(self._hosts.values())
 
     @property
-    def cold_changes(self) -> int:
-        """Grows with each change of what `cold_hosts` tells."""
+    def recovering_changes(self) -> int:
+        """The number of changes so far of what `list_recovering_hosts` returns."""
         return self._slow_start.changes
 
-    def cold_told(self, now: int, cold: ColdHost) -> bool:
-        """What an earlier life, or a process beside this one, knows of a host (rule 4); False: not listed."""
-        if (host := self._hosts.get(cold.host)) is None:
+    def restore_host(self, now: int, recovering: ColdHost) -> bool:
+        """Restore a host's slow start from an earlier process or one beside this; False: not listed."""
+        if (host := self._hosts.get(recovering.host)) is None:
             return False
         self._now = now
-        self._slow_start.restore(host, cold, now)
-        self._stirred[host.destination] = None
+        self._slow_start.restore(host, recovering, now)
+        self._dirty[host.destination] = None
         return True
 
-    def earlier_failure(self, now: int, destination: int, failed_at: int) -> None:
-        """An attempt of an earlier life never ran there, and no more is known: unknown is cold (rule 4)."""
-        for host in self._destinations[destination].hosts:
-            self.cold_told(now, ColdHost(host.id, failed_at, pace=0.0, recovered_at=0, limit=0.0))
-
-    def rest(self, failures: int) -> int:
-        """Until discovery is asked: at random, as all fail as one; its news counts as told 6 s after that."""
-        spread = self._random() if failures < 2 else 1 - self._random() / 2  # more evenly after the first
-        return int(spread * min(self._relays * APIECE << min(failures, RESTS), APIECE_MOST))
-
-    def refusal(self, destination: int, size: int, room: int, left: int, lag: int) -> int:
-        """0 where a packet may be handed in and stored, else how long its client ought to wait."""
-        full = self._max_open and self._open >= self._max_open
-        home = self._destinations.get(destination)
-        listed = home and home.route  # what no list has named yet may be a destination later, or never
-        # Guards rule 1 on a short processor: refused is what could end late, of the rest more as turns lag.
-        late = left <= 2 * lag + self._margin or self._random() * lag > self._aim // LATE
+    def report_earlier_failure(self, now: int, destination_id: int, failed_at: int) -> None:
+        """Report that an attempt before the restart never ran there, and nothing more is known.
+
+        A destination of unknown state is treated as recovering.
+        """
+        for host in self._destinations[destination_id].hosts:
+            self.restore_host(
+                now, ColdHost(host.id, failed_at, slow_start_rate=0.0, recovered_at=0, limit=0.0)
+            )
+
+    def draw_discovery_back_off(self, failures: int) -> int:
+        """Draw the delay before discovery is asked again after so many failures.
+
+        It is random, as all relays fail at the same moment, and bounded, as a change of the list counts as
+        received 6 s after discovery could be reached.
+        """
+        # The first delay is anywhere in the range; later ones are in its upper half, which spaces them more
+        # evenly.
+        fraction = self._random() if failures < 2 else 1 - self._random() / 2
+        return int(
+            fraction
+            * min(
+                self._relay_count * DISCOVERY_BACK_OFF_PER_RELAY_NS << min(failures, MAX_BACK_OFF_DOUBLINGS),
+                MAX_DISCOVERY_BACK_OFF_NS,
+            )
+        )
+
+    def check_admission(self, destination_id: int, size: int, room: int, remaining: int, lag: int) -> int:
+        """Return 0 where a packet may be accepted and stored, else after how long its client may retry.
+
+        The remaining time is that until its deadline; the lag is how late requests were answered of late.
+        """
+        full = self._max_open and self._open_packets >= self._max_open
+        destination = self._destinations.get(destination_id)
+        # An id that no list has named may become a destination later, or never.
+        listed = destination and destination.limit_scope
+        # On a slow processor packets could miss their deadline: those that could are refused, and of the
+        # others the more the longer the loop lags.
+        late = (
+            remaining <= 2 * lag + self._margin or self._random() * lag > self._target_latency // LAG_DIVISOR
+        )
         reasons = {
-            RefusalReason.STOPPING: self._leave_at < NEVER,
+            RefusalReason.STOPPING: self._stop_at < NEVER,
             RefusalReason.NOT_LISTED: not listed,
             RefusalReason.TABLE_FULL: full,
             RefusalReason.NO_ROOM: size > room,
             RefusalReason.LATE: late,
         }
-        self.refused_for = next((reason for reason, holds in reasons.items() if holds), RefusalReason.NONE)
-        return 0 if self.refused_for is RefusalReason.NONE else ROUND
+        self.refusal_reason = next((reason for reason, holds in reasons.items() if holds), RefusalReason.NONE)
+        return 0 if self.refusal_reason is RefusalReason.NONE else AIMD_INTERVAL_NS
 
-    def leave(self, leave_at: int, replaced: bool = False) -> None:
-        """Told to stop then: nothing more is taken, and no call goes out that may outlast the process.
+    def begin_shutdown(self, stop_at: int, replaced: bool = False) -> None:
+        """Accept no more packets and make no call that may outlast the process, which stops at `stop_at`.
 
-        `replaced`: a process beside this one is at work, and has this relay's part of the budgets (rule 4).
+        `replaced`: a process beside this one has taken over, and with it this relay's part of the slow-start
+        budgets.
         """
-        self._leave_at = leave_at
+        self._stop_at = stop_at
         self._slow_start.replaced = replaced
 
     def may_write(self, now: int, host: Host, packet: Packet) -> bool:
-        """A link came up late: told waits, drains, the end of a known repeat since (rules 6, 3 and 2)."""
-        first = next((trip.call.sent_at for trip in packet.trips[:-1] if not trip.void), NEVER) - self._margin
-        known = packet.profile.effect is not Effect.REFERENCED or now < first + packet.profile.repeat_known
-        return known and now >= host.route.wait_until and not 0 < host.left_at <= now - self._grace
+        """Whether a trip may still be written, now that its connection is established.
 
-    def packet_taken(
+        A retry-after or a drain may have arrived meanwhile, or the packet's deduplication window have ended.
+        """
+        window_start = (
+            next((trip.call.sent_at for trip in packet.trips[:-1] if not trip.never_ran), NEVER)
+            - self._margin
+        )
+        deduplicated = (
+            packet.profile.effect is not Effect.REFERENCED or now < window_start + packet.profile.repeat_known
+        )
+        return (
+            deduplicated
+            and now >= host.limit_scope.retry_after_until
+            and not 0 < host.drain_started_at <= now - self._drain_grace
+        )
+
+    def add_packet(
         self,
         now: int,
         ident: int,
         profile: int,
         tenant: int,
         key: int,
-        hard_stop: int,
-        destination: int,
+        deadline: int,
+        destination_id: int,
         earlier: tuple[tuple[int, bool], ...] = (),
         restored: bool = False,
     ) -> None:
-        """A packet was handed in, or is owed from an earlier life; round_over finds room for it."""
+        """Hold a packet that a client handed in or that was accepted before the restart.
+
+        `end_round` sends it.  `earlier`: its trips before the restart, as (sent at, never ran).
+        """
         self._now = now
-        home = self._destinations[destination]
-        packet = Packet(ident, self._order(), *self._profiles[profile], home, hard_stop)
-        packet.gain = packet.profile.gain * self._worth_of_share(tenant)
+        destination = self._destinations[destination_id]
+        packet = Packet(ident, self._next_number(), *self._profiles[profile], destination, deadline)
+        packet.value = packet.profile.value * self._charge_tenant(tenant)
         packet.restored = restored
         if packet.profile.in_order and key:
-            packet.key = self._keys.get(key) or self._keys.setdefault(key, Key(key))
-            packet.key.line.append(packet)
-            self._place(packet.key.line[0])
-        packet.trips = [Trip(Call(None, sent_at, False), over=True, void=void) for sent_at, void in earlier]
-        if packet.key and self._first_risk(packet):
-            packet.key.rest_until = now + self._quiet
+            packet.key = self._keys.get(key) or self._keys.setdefault(key, OrderingKey(key))
+            packet.key.queue.append(packet)
+            self._update_order(packet.key.queue[0])
+        packet.trips = [
+            Trip(Call(None, sent_at, False), has_ended=True, never_ran=never_ran)
+            for sent_at, never_ran in earlier
+        ]
+        if packet.key and self._first_uncertain_trip_at(packet):
+            packet.key.quiet_until = now + self._key_quiet_time
         self._packets[ident] = packet
-        self._open += 1
-        home.taken += not restored and hard_stop - packet.profile.give_up >= self._born  # of this life alone
-        self._enter(hard_stop - self._margin, packet)
-        self._hold(packet)
-        if earlier and not self._may_go_again(packet):
-            self._finish(packet, self._why_over(packet))  # single-use may have run in that life
-        elif self._max_open and self._open >= self._max_open and (worst := self._worst()):
-            self._finish(worst, EndReason.TABLE_FULL)  # it comes again later
-
-    def _worth_of_share(self, tenant: int) -> float:
-        """Guards against one tenant's flood: what lies beyond its share goes last."""
-        if tenant >= len(self._quotas) or self._quotas[tenant] <= 0:
+        self._open_packets += 1
+        # Only what was handed in to this process tells of its traffic.
+        destination.accepted_count += not restored and deadline - packet.profile.give_up >= self._started_at
+        self._set_timer(deadline - self._margin, packet)
+        self._set_held(packet)
+        if earlier and not self._may_retry(packet):
+            # A non-idempotent packet may have run before the restart.
+            self._answer_undelivered(packet, self._choose_end_reason(packet))
+        elif self._max_open and self._open_packets >= self._max_open and (victim := self._choose_eviction()):
+            self._answer_undelivered(victim, EndReason.TABLE_FULL)  # its client may hand it in again later
+
+    def _charge_tenant(self, tenant: int) -> float:
+        """Take a token from the tenant's bucket; return the factor on the packet's value.
+
+        Packets beyond a tenant's quota are worth less, so that a flood of one tenant goes last.
+        """
+        if tenant >= len(self._tenant_quotas) or self._tenant_quotas[tenant] <= 0:
             return 1.0
-        quota, (left, at) = self._quotas[tenant], self._shares[tenant]
-        left = min(SHARE_DEPTH * quota, left + quota * (self._now - at) / SECOND)
-        self._shares[tenant] = (left - (left >= 1), self._now)
-        return 1.0 if left >= 1 else self._over_share
-
-    def _hold(self, packet: Packet, held: bool = True) -> None:
-        """It waits for room, or no longer; what it may do meanwhile changes only where entered here."""
-        packet.last = len(packet.trips) + 1 == self._max_trips if held else packet.last
+        quota, (tokens, filled_at) = self._tenant_quotas[tenant], self._tenant_buckets[tenant]
+        tokens = min(TENANT_BURST_SECONDS * quota, tokens + quota * (self._now - filled_at) / SECOND)
+        self._tenant_buckets[tenant] = (tokens - (tokens >= 1), self._now)
+        return 1.0 if tokens >= 1 else self._over_quota_factor
+
+    def _set_held(self, packet: Packet, held: bool = True) -> None:
+        """Add the packet to the held ones, or take it out.
+
+        What a held packet may do depends only on what is recorded here.
+        """
+        packet.on_last_trip = len(packet.trips) + 1 == self._max_trips if held else packet.on_last_trip
         packet.held = held
         packet.destination.held += 1 if held else -1
-        if not (first := self._first_risk(packet)):
-            spare = self._spare_restored if packet.restored else self._spare
-            (spare.add if held else spare.remove)(packet, packet.gain)
+        if not (first := self._first_uncertain_trip_at(packet)):
+            dismissible = self._dismissible_restored if packet.restored else self._dismissible
+            (dismissible.add if held else dismissible.remove)(packet, packet.value)
         elif held and packet.profile.effect is Effect.REFERENCED:
-            self._enter(first + packet.profile.repeat_known - self._margin, packet)
-        self._place(packet)
+            self._set_timer(first + packet.profile.repeat_known - self._margin, packet)
+        self._update_order(packet)
 
-    def _place(self, packet: Packet) -> None:
-        """In the order of those that may go now, or out of it."""
-        weight = packet.gain * packet.held * (not packet.lingers)
+    def _update_order(self, packet: Packet) -> None:
+        """Put the packet into its destination's order, by its current weight, or take it out."""
+        weight = packet.value * packet.held * (not packet.last_trip_abandoned)
         key = packet.key
         if key and weight:
-            resting = not packet.trips and key.rest_until > self._now  # rule 5
-            if resting and key.line[0] is packet:
-                self._enter(key.rest_until, key)
-            # Those behind it wait as well; by powers of two, so that a long line is seldom weighed anew.
-            weight *= 0 if resting or key.line[0] is not packet else 1 << len(key.line).bit_length() - 1
+            # After a trip that may still run, the next packet of the key waits, so that the order is kept.
+            quiet = not packet.trips and key.quiet_until > self._now
+            if quiet and key.queue[0] is packet:
+                self._set_timer(key.quiet_until, key)
+            # The packets behind it wait too, which makes it worth more: in powers of two, so that a long
+            # queue seldom changes the weight.
+            weight *= 0 if quiet or key.queue[0] is not packet else 1 << len(key.queue).bit_length() - 1
         if weight != packet.weight:
             if packet.weight:
                 packet.destination.order.remove(packet, packet.weight)
             if weight:
                 packet.destination.order.add(packet, weight)
             packet.weight = weight
-        self._stirred[packet.destination] = None
+        self._dirty[packet.destination] = None
 
-    def _why_over(self, packet: Packet) -> EndReason:
-        """Why a message that may not go again ends now."""
-        if packet.hard_stop - self._margin <= self._now:
+    def _choose_end_reason(self, packet: Packet) -> EndReason:
+        """Return why a packet that must not be sent again ends now."""
+        if packet.deadline - self._margin <= self._now:
             return EndReason.DEADLINE
-        if self._first_risk(packet):
+        if self._first_uncertain_trip_at(packet):
             return EndReason.MAY_HAVE_RUN
         return EndReason.ATTEMPTS_USED if len(packet.trips) >= self._max_trips else EndReason.UNREADABLE
 
-    def _finish(self, packet: Packet, reason: EndReason) -> None:
-        """Rule 1: the one place that gives an answer; dismissed where no trip may have run, else errored."""
+    def _answer_undelivered(self, packet: Packet, reason: EndReason) -> None:
+        """End an undelivered packet: dismissed where no trip may have run, else with an error.
+
+        This is the only place that gives such an answer, so that every packet gets exactly one.
+        """
         packet.end_reason = reason
         (
             self._port.error(packet)
-            if self._first_risk(packet)
-            else self._port.dismiss(packet, self._advice(packet))
+            if self._first_uncertain_trip_at(packet)
+            else self._port.dismiss(packet, self._compute_retry_after(packet))
         )
-        self._end(packet)
+        self._close_packet(packet)
 
-    def _advice(self, packet: Packet) -> int:
-        return min(self._max_wait, max(MILLISECOND, self._delay(packet.destination)))
+    def _compute_retry_after(self, packet: Packet) -> int:
+        return min(self._max_retry_after, max(MILLISECOND, self._estimate_backlog_time(packet.destination)))
 
-    def _delay(self, home: Destination) -> int:
-        """Until all that is held there may have gone, as far as is known."""
-        if (route := home.route) is None:
+    def _estimate_backlog_time(self, destination: Destination) -> int:
+        """Estimate how long the destination takes for all packets that are held for it."""
+        if (scope := destination.limit_scope) is None:
             return NEVER
-        return max(route.wait_until - self._now, int(home.held * SECOND / min(route.limit, route.listed)))
-
-    def _worst(self) -> Packet | None:
-        """Guards the packet table: what its destination can't take for long gives way before the others."""
-        home = max((home for home in self._destinations.values() if home.held), key=self._delay)
-        worst = home.order.least(self._now + ROUND) if self._delay(home) > FAR_OFF * self._aim else None
-        if worst and not self._first_risk(worst) and not worst.restored:
-            return worst
-        # What an earlier life took on goes last: whoever comes now can be refused at the door.
-        worst = self._spare.least(self._now + ROUND)
-        if worst is None and self._open > self._max_open:
-            return self._spare_restored.least(self._now + ROUND)
-        return worst
-
-    def _end(self, packet: Packet) -> None:
+        return max(
+            scope.retry_after_until - self._now,
+            int(destination.held * SECOND / min(scope.limit, scope.listed_rate)),
+        )
+
+    def _choose_eviction(self) -> Packet | None:
+        """Choose the packet that makes room in the full packet table, if any may be dismissed.
+
+        Packets that their destination cannot take for a long time go before the others.
+        """
+        destination = max(
+            (destination for destination in self._destinations.values() if destination.held),
+            key=self._estimate_backlog_time,
+        )
+        victim = (
+            destination.order.least(self._now + AIMD_INTERVAL_NS)
+            if self._estimate_backlog_time(destination) > EVICTION_BACKLOG_TARGETS * self._target_latency
+            else None
+        )
+        if victim and not self._first_uncertain_trip_at(victim) and not victim.restored:
+            return victim
+        # Packets accepted before the restart go last: new ones can be refused instead.
+        victim = self._dismissible.least(self._now + AIMD_INTERVAL_NS)
+        if victim is None and self._open_packets > self._max_open:
+            return self._dismissible_restored.least(self._now + AIMD_INTERVAL_NS)
+        return victim
+
+    def _close_packet(self, packet: Packet) -> None:
         packet.ended = True
-        self._open -= 1
-        self._linger(packet, False)
+        self._open_packets -= 1
+        self._set_abandoned(packet, False)
         if packet.held:
-            self._hold(packet, False)
-        self._forget(packet)
+            self._set_held(packet, False)
+        self._remove_packet(packet)
 
-    def _forget(self, packet: Packet) -> None:
-        if packet.out or not self._packets.pop(packet.id, None):
+    def _remove_packet(self, packet: Packet) -> None:
+        """Drop the record of an ended packet once none of its trips is in flight."""
+        if packet.in_flight or not self._packets.pop(packet.id, None):
             return
-        packet.trips = []  # its hard stop may keep it in the agenda for long
+        packet.trips = []  # the timer of its deadline may keep the packet for long
         if packet.key:
-            packet.key.line.remove(packet)
-            if packet.key.line:
-                self._place(packet.key.line[0])
-            self._enter(packet.key.rest_until, packet.key)
+            packet.key.queue.remove(packet)
+            if packet.key.queue:
+                self._update_order(packet.key.queue[0])
+            self._set_timer(packet.key.quiet_until, packet.key)
 
-    def packet_withdrawn(self, now: int, ident: int) -> None:
-        """Nobody wants the packet any more."""
+    def withdraw_packet(self, now: int, ident: int) -> None:
+        """End a packet without an answer, as nobody waits for it any more."""
         self._now = now
         packet = self._packets.get(ident)
         if packet and not packet.ended:
-            self._end(packet)
+            self._close_packet(packet)
 
-    def trip_ended(
+    def end_trip(
         self,
         now: int,
         ident: int,
@@ -453,402 +597,527 @@
         wait: int,
         report: tuple[float, ...],
     ) -> None:
-        """A trip has its outcome; unless that finished the packet, its answer is still owed."""
+        """Record the outcome of a trip; unless that finished the packet, it is sent again or answered.
+
+        The wait is the retry-after of the response, 0 for none; the report is the host's load report.
+        """
         self._now = now
         packet = self._packets.get(ident)
-        if packet is None or number >= len(packet.trips) or packet.trips[number].over:
+        if packet is None or number >= len(packet.trips) or packet.trips[number].has_ended:
             return
         trip = packet.trips[number]
-        trip.over = True
-        trip.void = outcome.never_ran
-        packet.out -= 1
-        self._judge_call(trip.call, outcome, latency, wait, report)
+        trip.has_ended = True
+        trip.never_ran = outcome.never_ran
+        packet.in_flight -= 1
+        self._record_call_outcome(trip.call, outcome, latency, wait, report)
         if packet.key and outcome.may_run_on:
-            packet.key.rest_until = now + self._quiet
+            packet.key.quiet_until = now + self._key_quiet_time
         if packet.ended:
-            self._forget(packet)
+            self._remove_packet(packet)
         elif finished:
-            self._end(packet)
-        elif self._may_go_again(packet) and (outcome is not Outcome.UNREADABLE or trip.call.shared):
-            packet.alone |= outcome is Outcome.UNREADABLE  # guards those that travel with what none can read
-            self._linger(packet, outcome.given_up and not self._copies)
-            self._hold(packet)
+            self._close_packet(packet)
+        elif self._may_retry(packet) and (outcome is not Outcome.UNREADABLE or trip.call.shared):
+            # One unreadable packet spoils a batch: each of them is sent alone, which protects the others.
+            packet.travels_alone |= outcome is Outcome.UNREADABLE
+            self._set_abandoned(packet, outcome.given_up and not self._allows_second_copies)
+            self._set_held(packet)
         else:
-            self._finish(packet, self._why_over(packet))
+            self._answer_undelivered(packet, self._choose_end_reason(packet))
 
-    def _first_risk(self, packet: Packet) -> int:
-        """When the first trip went out that may have run, 0 where none did."""
-        return next((trip.call.sent_at or 1 for trip in packet.trips if not trip.void), 0)
+    def _first_uncertain_trip_at(self, packet: Packet) -> int:
+        """Return when the first trip was sent that may have run, 0 if none may have."""
+        return next((trip.call.sent_at or 1 for trip in packet.trips if not trip.never_ran), 0)
 
-    def _may_go_again(self, packet: Packet) -> bool:
-        """Rule 2: the one guard on further trips."""
-        if len(packet.trips) >= self._max_trips or packet.hard_stop - self._margin <= self._now:
+    def _may_retry(self, packet: Packet) -> bool:
+        """Whether the packet may be sent again; the only guard against a packet that takes effect twice."""
+        if len(packet.trips) >= self._max_trips or packet.deadline - self._margin <= self._now:
             return False
-        if not (first := self._first_risk(packet)):
+        if not (first := self._first_uncertain_trip_at(packet)):
             return True
-        host = next(trip.call.host for trip in packet.trips if not trip.void)  # none: in an earlier life
+        host = next(trip.call.host for trip in packet.trips if not trip.never_ran)  # None: before the restart
         if packet.profile.effect is Effect.REPLAYABLE:
-            return self._copies or host is not None  # nobody will hear of the end of such a trip
-        known = packet.profile.effect is Effect.REFERENCED and (host is not None or self._copies)
-        if packet.profile.repeat_known_by_zone:  # only in the zone where it went first, or not at all
-            known = known and host is not None
-            packet.bound = host and host.zone
-        return known and self._now < first + packet.profile.repeat_known - self._margin
-
-    def _judge_call(
+            # The end of a trip from before the restart is never reported: the second one would be a copy.
+            return self._allows_second_copies or host is not None
+        deduplicated = packet.profile.effect is Effect.REFERENCED and (
+            host is not None or self._allows_second_copies
+        )
+        if packet.profile.repeat_known_by_zone:  # only the zone that saw the first trip detects a repeat
+            deduplicated = deduplicated and host is not None
+            packet.bound_zone = host and host.zone
+        return deduplicated and self._now < first + packet.profile.repeat_known - self._margin
+
+    def _record_call_outcome(
         self, call: Call, outcome: Outcome, latency: int, wait: int, report: tuple[float, ...]
     ) -> None:
-        """One call has one fate, though each packet in it tells of it."""
+        """Update the host and its limit; a call's outcome counts once, not once for each of its packets."""
         host = call.host
-        route = call.host.route
-        self._stirred[host.destination] = None
-        call.left -= 1
+        scope = call.host.limit_scope
+        self._dirty[host.destination] = None
+        call.trips_remaining -= 1
         if outcome in (Outcome.FULFILLED, Outcome.FULL, Outcome.FAULT):
-            self._tables_at = self._now if self._now - route.turned_at < 2 * ROUND else self._tables_at
-            host.used_at = self._now
-            route.turned *= outcome is Outcome.FULL
-        if not call.left:
-            call.trips = []  # no circles, so that nothing waits for the collector
-            route.out -= 1
-            host.out -= 1
-            self._out -= 1
-            if not host.out and outcome.may_run_on:
-                host.freed_at = self._now  # that link is gone
-            host.overdue -= call.late
-            self._overdue.pop(call, None)
-            if not host.out and host.kind in self._tight_kinds:
-                self._enter(self._now + self._spare_idle, host)
-        if wait > 0:  # also beside packets of the call that were taken
-            route.wait_until = max(route.wait_until, self._now + wait)  # rule 6
-        if call.judged:
+            self._table_freed_at = (
+                self._now
+                if self._now - scope.connect_rejected_at < 2 * AIMD_INTERVAL_NS
+                else self._table_freed_at
+            )
+            host.last_answer_at = self._now
+            scope.rejected_connects *= outcome is Outcome.FULL
+        if not call.trips_remaining:
+            call.trips = []  # breaks the reference cycle, so that no garbage collection is needed
+            scope.in_flight -= 1
+            host.in_flight -= 1
+            self._in_flight -= 1
+            if not host.in_flight and outcome.may_run_on:
+                host.idle_closed_at = self._now  # the call's connection was closed
+            host.overdue -= call.is_overdue
+            self._overdue_calls.pop(call, None)
+            if not host.in_flight and host.kind in self._full_table_kinds:
+                self._set_timer(self._now + self._full_table_idle_time, host)
+        if wait > 0:  # binding for all packets to it, also where other packets of the call were accepted
+            scope.retry_after_until = max(scope.retry_after_until, self._now + wait)
+        if call.outcome_recorded:
             return
-        call.judged = True
+        call.outcome_recorded = True
         if (field := self._limit_field) is not None and len(report) > field and report[field] > 0:
-            route.top = report[field]
-            route.share = report[field] / self._relays
-            route.limit = min(route.limit, route.top)  # guards against limits that change in the day
-        # A later call is done there: what was given up here before is over as well; a hung host does none.
-        done = host.lingering if outcome in (Outcome.FULFILLED, Outcome.FAULT) else ()
-        for packet in [packet for packet in done if packet.trips[-1].call.sent_at < call.sent_at]:
-            self._linger(packet, False)
-            self._place(packet)
+            scope.max_limit = report[field]
+            scope.fair_share = report[field] / self._relay_count
+            scope.limit = min(scope.limit, scope.max_limit)  # the real limit may fall while the relay runs
+        # The host has completed a call that was sent later, so trips abandoned there before have ended too;
+        # a hung host completes none.
+        abandoned = host.abandoned_packets if outcome in (Outcome.FULFILLED, Outcome.FAULT) else ()
+        for packet in [packet for packet in abandoned if packet.trips[-1].call.sent_at < call.sent_at]:
+            self._set_abandoned(packet, False)
+            self._update_order(packet)
         if outcome is Outcome.FULFILLED:
-            host.spread += (abs(latency - host.latency) - host.spread) // 4 if host.latency else latency // 2
+            host.latency_deviation += (
+                (abs(latency - host.latency) - host.latency_deviation) // 4 if host.latency else latency // 2
+            )
             host.latency += (latency - host.latency) // 8 if host.latency else latency
             self._slow_start.succeeded(host, call, self._now)
-            self._drained[host.kind] *= 1 if route.raised_at < NEVER else 1 - 1 / LEARNED
-            route.raised_at = min(route.raised_at, self._now)
-            if call.idle >= STALE_LEAST:
-                host.lost = 0
-                self._idle_answered.add(self._now, call.idle)
+            self._refusal_run_rate[host.kind] *= (
+                1 if scope.increased_at < NEVER else 1 - 1 / LEARNING_OUTCOMES
+            )
+            scope.increased_at = min(scope.increased_at, self._now)
+            if call.idle_time >= MIN_STALE_IDLE_NS:
+                host.idle_losses = 0
+                self._answered_idle_times.add(self._now, call.idle_time)
         elif outcome is Outcome.FULL:
-            left = report[self._left_field] if report and self._left_field is not None else 0.0
-            if call.sent_at > route.cut_at:  # refusals of calls sent before the cut say nothing new
-                if route.limit <= route.share * LEAST:  # hardly anything was sent: sick, not full
-                    self._slow_start.failed(host, REFUSED_WEIGHT, "refused at the least limit", self._now)
-                sent = sum(at > self._now - ROUND for at in route.log)  # a limit far above use says nothing
-                # Guards sparse senders against starving: what is left tells, in a run of refusals, buckets
-                # full for moments from those that it uses up; firsts are cut so as far as they became runs.
-                again = route.raised_at == NEVER
-                drained = self._drained[host.kind]
-                self._drained[host.kind] += (1 - drained) / LEARNED * again
-                cut = CUT + (max(CUT_AGAIN, CUT * min(1.0, left)) - CUT) * (1 if again else drained)
-                cut *= (0.5 + self._random()) * min(route.limit, route.top, max(1, sent))
-                route.limit = max(route.share * (LEAST if again else self._least), cut)
-                route.cut_at = self._now
-            route.raised_at = NEVER  # no window is free of refusals before a call went well
-            # A long wait tells of a shut destination, much of its limit left twice in a row of a hung one.
-            seldom = host.destination.taken * self._fall_time < self._now - self._born
-            if wait > 2 * ROUND or left > MUCH_LEFT and seldom:
-                weight = EJECT_AT if wait > 2 * ROUND else EJECT_AT / 2
-                cause = "long wait or limit left"
+            remaining = report[self._remaining_field] if report and self._remaining_field is not None else 0.0
+            if call.sent_at > scope.backed_off_at:  # calls sent before the back-off tell nothing new
+                if scope.limit <= scope.fair_share * MIN_LIMIT_FACTOR:
+                    # Hardly anything was sent: the host is failing, not at its limit.
+                    self._slow_start.failed(host, REFUSED_WEIGHT, "refused at the minimum limit", self._now)
+                # Backs off from the rate in use: a limit far above it tells nothing.
+                sent_lately = sum(at > self._now - AIMD_INTERVAL_NS for at in scope.sent_times)
+                # A sparse sender must not starve.  In a run of refusals, the remaining part that the host
+                # reports tells a bucket that was full for a moment from one that this sender uses up.  A
+                # first refusal backs off as far towards that as first refusals have become runs before.
+                repeated = scope.increased_at == NEVER
+                run_rate = self._refusal_run_rate[host.kind]
+                self._refusal_run_rate[host.kind] += (1 - run_rate) / LEARNING_OUTCOMES * repeated
+                reduced = BACK_OFF_FACTOR + (
+                    max(REPEATED_BACK_OFF_FACTOR, BACK_OFF_FACTOR * min(1.0, remaining)) - BACK_OFF_FACTOR
+                ) * (1 if repeated else run_rate)
+                reduced *= (0.5 + self._random()) * min(scope.limit, scope.max_limit, max(1, sent_lately))
+                scope.limit = max(
+                    scope.fair_share * (MIN_LIMIT_FACTOR if repeated else self._min_limit_factor), reduced
+                )
+                scope.backed_off_at = self._now
+            scope.increased_at = NEVER  # no increase until a call has succeeded
+            # A long retry-after means that the destination is down; much of the limit unused, twice in a row,
+            # that it hangs.
+            sparse = host.destination.accepted_count * self._fall_time < self._now - self._started_at
+            if wait > 2 * AIMD_INTERVAL_NS or remaining > UNUSED_LIMIT_FRACTION and sparse:
+                weight = EJECT_AT if wait > 2 * AIMD_INTERVAL_NS else EJECT_AT / 2
+                cause = "long retry-after or unused limit"
                 evidence = Evidence.OWN_CAUSE
                 self._slow_start.siblings_failed(host, weight, cause, self._now, call, evidence)
             self._slow_start.refused(host, self._now, call)
         elif outcome in (Outcome.UNCONNECTED, Outcome.CROWDED):
-            host.links = host.out - (call.left > 0)  # without this call, lest a bundle hide a dead host
-            slow = outcome is Outcome.UNCONNECTED and latency >= self._slow
+            # Without this call itself: its other packets must not hide that the host is down.
+            host.calls_when_full = host.in_flight - (call.trips_remaining > 0)
+            slow = outcome is Outcome.UNCONNECTED and latency >= self._slow_connect_time
             if not slow:
-                # Guards against tables filled by idle links: new ones pause, idle ones to that kind are kept
-                # for less.  Turned away again and again, it may be down (rule 4), but not if it answered.
-                pause = int(ROUND * (0.5 + self._random()))
-                host.clear_at = self._now + pause
-                route.turned += 1
-                route.turned_at = self._now
-                fresh = host.kind not in self._tight_kinds
-                self._tight_kinds.add(host.kind)
-                for other in self._hosts.values() if fresh else ():
-                    if other.kind == host.kind and other.used_at > other.freed_at and not other.out:
-                        self._enter(max(self._now, other.used_at + self._spare_idle), other)
-            # Guards rule 4: all hosts of what is down are judged, but where full tables came free.
-            tables = not slow and self._tables_at > self._now - STALE_KEPT
-            if outcome is Outcome.UNCONNECTED and not host.links and not tables:
+                # Idle connections may fill the host's connection table: new ones pause, and idle ones to
+                # hosts of that kind are kept for a shorter time.  A host that rejects connections again and
+                # again may be down and needs slow start, but not if it answered in between.
+                pause = int(AIMD_INTERVAL_NS * (0.5 + self._random()))
+                host.table_full_until = self._now + pause
+                scope.rejected_connects += 1
+                scope.connect_rejected_at = self._now
+                newly_full = host.kind not in self._full_table_kinds
+                self._full_table_kinds.add(host.kind)
+                for other in self._hosts.values() if newly_full else ():
+                    if (
+                        other.kind == host.kind
+                        and other.last_answer_at > other.idle_closed_at
+                        and not other.in_flight
+                    ):
+                        self._set_timer(
+                            max(self._now, other.last_answer_at + self._full_table_idle_time), other
+                        )
+            # An outage takes all hosts of a destination, so all start slowly; full tables that were seen to
+            # free up lately are no outage.
+            tables_full = not slow and self._table_freed_at > self._now - STALE_MEMORY_NS
+            if outcome is Outcome.UNCONNECTED and not host.calls_when_full and not tables_full:
                 self._slow_start.siblings_failed(host, EJECT_AT / 2, outcome.value, self._now, call)
-            elif outcome is Outcome.UNCONNECTED and not host.links and route.turned > 1:
+            elif outcome is Outcome.UNCONNECTED and not host.calls_when_full and scope.rejected_connects > 1:
                 evidence = Evidence.OWN_CAUSE
                 self._slow_start.failed(host, EJECT_AT / 2, outcome.value, self._now, call, evidence)
         elif outcome is Outcome.CUT_OFF or outcome is Outcome.RESET and latency < host.latency:
-            self._link_lost(call, FAILED_WEIGHT, reset=True)
-        elif outcome in (Outcome.FAULT, Outcome.TIMED_OUT, Outcome.RESET, Outcome.SPOILT) and not call.late:
-            spoilt = outcome is Outcome.SPOILT  # it answered
+            self._record_lost_connection(call, FAILED_WEIGHT, reset=True)
+        elif (
+            outcome in (Outcome.FAULT, Outcome.TIMED_OUT, Outcome.RESET, Outcome.SPOILT)
+            and not call.is_overdue
+        ):
+            spoilt = outcome is Outcome.SPOILT  # the host did answer
             weight = REFUSED_WEIGHT if spoilt else FAILED_WEIGHT
             evidence = Evidence.OWN_CAUSE if spoilt else Evidence.OUTAGE
             self._slow_start.failed(host, weight, outcome.value, self._now, call, evidence)
 
-    def _linger(self, packet: Packet, lingers: bool) -> None:
-        """Guards against two trips at once: one given up here runs on there till a later one is done."""
-        if lingers is not packet.lingers:
-            packet.lingers = lingers
-            others = packet.trips[-1].call.host.lingering
-            (others.append if lingers else others.remove)(packet)
+    def _set_abandoned(self, packet: Packet, abandoned: bool) -> None:
+        """Note that the packet's last trip was given up and may still run, or that it has ended.
 
-    def _link_lost(
+        Where no second copy may run, the packet waits until the host has completed a later call.
+        """
+        if abandoned is not packet.last_trip_abandoned:
+            packet.last_trip_abandoned = abandoned
+            host_packets = packet.trips[-1].call.host.abandoned_packets
+            (host_packets.append if abandoned else host_packets.remove)(packet)
+
+    def _record_lost_connection(
         self, call: Call, weight: float, reset: bool, evidence: Evidence = Evidence.OUTAGE
     ) -> None:
-        """Guards against idle links cut on the way: links idle as long are closed before use, to a host after
-        a reset or two losses, to all once three lost calls on links idle longer than any answered of late."""
+        """Record a call that was lost with its connection, which may have gone stale while it was idle.
+
+        Connections that have been idle as long are closed before use: those to this host after a reset or two
+        losses, those to all hosts once three calls were lost on connections that had been idle for longer
+        than any that was answered of late.
+        """
         host = call.host
-        weight = REFUSED_WEIGHT if reset and call.idle >= STALE_LEAST else weight
-        cause = "link reset" if reset else "overdue"
+        weight = REFUSED_WEIGHT if reset and call.idle_time >= MIN_STALE_IDLE_NS else weight
+        cause = "connection reset" if reset else "overdue"
         self._slow_start.failed(host, weight, cause, self._now, call, evidence)
-        if call.idle < STALE_LEAST:
-            host.lost = 0
-            host.stale_at = -NEVER if call.fresh else host.stale_at
+        if call.idle_time < MIN_STALE_IDLE_NS:
+            host.idle_losses = 0
+            host.connections_stale_at = -NEVER if call.on_new_connection else host.connections_stale_at
             return
-        host.idle_lost = min(host.idle_lost, call.idle) if host.lost else call.idle
-        self._swallowed_at = self._swallowed_at if self._copies else self._now
-        host.lost += 2 if reset else 1
-        self._idle_losses.add(host, self._now, host.idle_lost)
-        recent = self._now - STALE_PROOF
-        lost = self._idle_losses.count_above(self._idle_answered.greatest(recent), recent)
-        self._stale_at = self._now if lost >= STALE_HOSTS else self._stale_at
-        if host.lost > 1 or lost >= STALE_HOSTS:
-            known = self._span if self._now - self._span_at <= STALE_KEPT else NEVER
-            self._span = min(known, host.idle_lost)
-            self._span_at = self._now
-            host.stale_at = self._now
-
-    def _refresh_links(self, host: Host, call: Call, packets: list[Packet]) -> None:
-        call.idle = self._now - host.used_at if host.used_at > host.freed_at else 0
-        longest = self._idle_answered.greatest(self._now - STALE_PROOF)
-        # Guards what can't go again: once a link swallowed one, those idle longer than was answered may too.
-        careful = self._swallowed_at > self._now - STALE_KEPT and call.idle > max(STALE_LEAST, 2 * longest)
-        careful |= call.idle >= STALE_LEAST and any(packet.last for packet in packets)
-        known = max(host.stale_at, self._stale_at) > self._now - STALE_KEPT
-        if careful or known and self._now - host.freed_at >= self._span * 0.8:
+        host.idle_before_loss = (
+            min(host.idle_before_loss, call.idle_time) if host.idle_losses else call.idle_time
+        )
+        self._idle_loss_at = self._idle_loss_at if self._allows_second_copies else self._now
+        host.idle_losses += 2 if reset else 1
+        self._idle_connection_losses.add(host, self._now, host.idle_before_loss)
+        since = self._now - STALE_EVIDENCE_WINDOW_NS
+        hosts_lost = self._idle_connection_losses.count_above(
+            self._answered_idle_times.maximum_since(since), since
+        )
+        self._all_stale_at = self._now if hosts_lost >= STALE_EVIDENCE_HOSTS else self._all_stale_at
+        if host.idle_losses > 1 or hosts_lost >= STALE_EVIDENCE_HOSTS:
+            known = (
+                self._stale_idle_time if self._now - self._stale_idle_time_at <= STALE_MEMORY_NS else NEVER
+            )
+            self._stale_idle_time = min(known, host.idle_before_loss)
+            self._stale_idle_time_at = self._now
+            host.connections_stale_at = self._now
+
+    def _close_stale_connections(self, host: Host, call: Call, packets: list[Packet]) -> None:
+        """Close the host's idle connections before a call, if they may be stale."""
+        call.idle_time = self._now - host.last_answer_at if host.last_answer_at > host.idle_closed_at else 0
+        longest_answered = self._answered_idle_times.maximum_since(self._now - STALE_EVIDENCE_WINDOW_NS)
+        # For packets that cannot be sent again: once an idle connection lost one, connections that have been
+        # idle for longer than those that were answered may lose the next.
+        cautious = self._idle_loss_at > self._now - STALE_MEMORY_NS and call.idle_time > max(
+            MIN_STALE_IDLE_NS, 2 * longest_answered
+        )
+        cautious |= call.idle_time >= MIN_STALE_IDLE_NS and any(packet.on_last_trip for packet in packets)
+        known_stale = max(host.connections_stale_at, self._all_stale_at) > self._now - STALE_MEMORY_NS
+        if cautious or known_stale and self._now - host.idle_closed_at >= self._stale_idle_time * 0.8:
             self._port.free_links(host)
-            host.freed_at = self._now
-            call.idle = 0
-            call.fresh = True
+            host.idle_closed_at = self._now
+            call.idle_time = 0
+            call.on_new_connection = True
 
-    def round_over(self, now: int) -> None:
-        """All that came in together has been told: send what has room, then sleep until something is due."""
+    def end_round(self, now: int) -> None:
+        """Act on all events reported since the last round: send what may go and set the alarm."""
         self._now = now
-        self._settle_due()
-        while self._out < self._slots and (load := self._next_load()):
-            drawn = load.hosts if self._fees else self._sample(load.hosts, min(2, len(load.hosts)))
-            self._call(min(drawn, key=partial(self._burden, load)), load.packets)
-        if self._cancels and self._overdue:
-            self._free_room()
-        if self._agenda and not now < self._alarm_at <= self._agenda[0][0]:
-            self._alarm_at = max(self._agenda[0][0], now + MILLISECOND)
+        self._run_due_timers()
+        while self._in_flight < self._slots and (candidate := self._pop_best_candidate()):
+            # Two random choices spread the load; where trips have fees, all hosts are compared.
+            sampled = (
+                candidate.hosts if self._fees else self._sample(candidate.hosts, min(2, len(candidate.hosts)))
+            )
+            self._send_call(min(sampled, key=partial(self._estimate_cost, candidate)), candidate.packets)
+        if self._may_cancel and self._overdue_calls:
+            self._cancel_overdue_calls()
+        if self._timers and not now < self._alarm_at <= self._timers[0][0]:
+            self._alarm_at = max(self._timers[0][0], now + MILLISECOND)
             self._port.alarm(self._alarm_at - now)
 
-    def _next_load(self) -> Load | None:
-        """The call that saves most; those not weighed for long are weighed again, lest they rise unseen."""
-        old = takewhile(lambda home: home.weighed_at <= self._now - self._aim // WEIGHED, self._ready)
-        self._stirred.update(dict.fromkeys(islice(old, AT_ONCE)))
-        self._weigh()
-        while self._loads:
-            load = heappop(self._loads)[2]
-            if load is load.home.load:
-                self._stirred[load.home] = None
-                if load.home.weighed_at == self._now:
-                    return load
-                self._weigh()
+    def _pop_best_candidate(self) -> CandidateCall | None:
+        """Return the candidate call that saves most value per second.
+
+        Candidates that were evaluated long ago are evaluated again, as their value may have risen since.
+        """
+        outdated = takewhile(
+            lambda destination: destination.evaluated_at
+            <= self._now - self._target_latency // REEVALUATION_DIVISOR,
+            self._ready_destinations,
+        )
+        self._dirty.update(dict.fromkeys(islice(outdated, MAX_REEVALUATIONS)))
+        self._update_candidates()
+        while self._candidates:
+            candidate = heappop(self._candidates)[2]
+            if candidate is candidate.destination.candidate:
+                self._dirty[candidate.destination] = None
+                if candidate.destination.evaluated_at == self._now:
+                    return candidate
+                self._update_candidates()
         return None
 
-    def _weigh(self) -> None:
-        """Find the next call of each destination where something has changed."""
-        for home in self._stirred:
-            self._ready.pop(home, None)
-            home.load = self._load(home) if home.held else None
-            home.weighed_at = self._now
-            if home.load:
-                self._ready[home] = None
-                heappush(self._loads, (-home.load.saved, self._order(), home.load))
-        self._stirred.clear()
-
-    def _free_room(self) -> None:
-        """Guards slots and links: where these are short, calls out far too long give way to held packets."""
-        if calls := [call for call in self._overdue if call.given_up or call.yields_at <= self._now]:
-            self._weigh()
+    def _update_candidates(self) -> None:
+        """Evaluate the next call of each destination where something has changed."""
+        for destination in self._dirty:
+            self._ready_destinations.pop(destination, None)
+            destination.candidate = self._find_candidate(destination) if destination.held else None
+            destination.evaluated_at = self._now
+            if destination.candidate:
+                self._ready_destinations[destination] = None
+                heappush(
+                    self._candidates,
+                    (-destination.candidate.value_per_second, self._next_number(), destination.candidate),
+                )
+        self._dirty.clear()
+
+    def _cancel_overdue_calls(self) -> None:
+        """Cancel calls that are long overdue where held packets need their slots or connections."""
+        if calls := [
+            call for call in self._overdue_calls if call.cancelled or call.cancellable_at <= self._now
+        ]:
+            self._update_candidates()
         for at, call in enumerate(calls):
-            if at < len(self._ready) or call.host.destination.held and call.host.tight(self._now):
-                self._give_up(call)
-
-    def _give_up(self, call: Call) -> None:
-        for packet, number in () if call.given_up else call.trips:
+            if (
+                at < len(self._ready_destinations)
+                or call.host.destination.held
+                and call.host.has_full_table(self._now)
+            ):
+                self._cancel_call(call)
+
+    def _cancel_call(self, call: Call) -> None:
+        for packet, number in () if call.cancelled else call.trips:
             self._port.cancel(packet, number)
-        call.given_up = True
-
-    def _look_again(self, home: Destination, at: int) -> None:
-        """Nothing may change there before that time, but by what stirs it."""
-        if not self._now < home.due_at <= at:
-            home.due_at = at
-            self._enter(at, home)
-
-    def _enter(self, at: int, what: Due) -> None:
-        heappush(self._agenda, (at, self._order(), what))
-
-    def _settle_due(self) -> None:
-        """Packets near their hard stop get their answer; calls out too long count against their host."""
-        while self._agenda and self._agenda[0][0] <= self._now:
-            what = heappop(self._agenda)[2]
-            if what is None:
+        call.cancelled = True
+
+    def _schedule_check(self, destination: Destination, at: int) -> None:
+        """Set a timer for a destination at which nothing changes before then, unless it becomes dirty."""
+        if not self._now < destination.next_check_at <= at:
+            destination.next_check_at = at
+            self._set_timer(at, destination)
+
+    def _set_timer(self, at: int, subject: TimerSubject) -> None:
+        heappush(self._timers, (at, self._next_number(), subject))
+
+    def _run_due_timers(self) -> None:
+        """Handle each timer that is due, by the type of its subject."""
+        while self._timers and self._timers[0][0] <= self._now:
+            subject = heappop(self._timers)[2]
+            if subject is None:
                 self._port.watch()
-            elif isinstance(what, Packet):  # its time is up, or held, and its repeat is no longer known
-                timed_out = self._now >= what.hard_stop - self._margin
-                if not what.ended and (what.held or timed_out):
-                    self._finish(what, EndReason.DEADLINE if timed_out else EndReason.REPEAT_WINDOW)
-            elif isinstance(what, Destination):
-                self._stirred[what] = None
-            elif isinstance(what, Key):
-                if what.line:
-                    self._place(what.line[0])
-                elif what.rest_until <= self._now:
-                    self._keys.pop(what.id, None)
-            elif isinstance(what, Host):
-                if not what.out and self._now - max(what.used_at, what.freed_at) >= self._spare_idle:
-                    what.freed_at = self._now
-                    self._port.free_links(what)
-            elif what.left:
-                self._settle_call(what)
-
-    def _settle_call(self, call: Call) -> None:
-        """A call that is out is overdue, or has outlasted one of its packets.
-
-        Guards rule 1: an answer to a shared call that comes after the time of one of its packets counts for
-        none of them, so nobody waits for it.
+            elif isinstance(subject, Packet):  # its deadline, or the end of its deduplication window
+                timed_out = self._now >= subject.deadline - self._margin
+                if not subject.ended and (subject.held or timed_out):
+                    self._answer_undelivered(
+                        subject, EndReason.DEADLINE if timed_out else EndReason.REPEAT_WINDOW
+                    )
+            elif isinstance(subject, Destination):
+                self._dirty[subject] = None
+            elif isinstance(subject, OrderingKey):
+                if subject.queue:
+                    self._update_order(subject.queue[0])
+                elif subject.quiet_until <= self._now:
+                    self._keys.pop(subject.id, None)
+            elif isinstance(subject, Host):
+                if (
+                    not subject.in_flight
+                    and self._now - max(subject.last_answer_at, subject.idle_closed_at)
+                    >= self._full_table_idle_time
+                ):
+                    subject.idle_closed_at = self._now
+                    self._port.free_links(subject)
+            elif subject.trips_remaining:
+                self._handle_call_timer(subject)
+
+    def _handle_call_timer(self, call: Call) -> None:
+        """Handle a call in flight that has become overdue or has reached the deadline of one of its packets.
+
+        An answer to a shared call that comes after the deadline of one of its packets counts for none of
+        them, so such a call is cancelled: each packet must get its outcome in time.
         """
-        if call.shared and self._cancels and self._now >= call.stop - self._margin:
-            self._give_up(call)
-        elif not call.late and self._now >= call.overdue_at:
-            call.late = True
+        if call.shared and self._may_cancel and self._now >= call.deadline - self._margin:
+            self._cancel_call(call)
+        elif not call.is_overdue and self._now >= call.overdue_at:
+            call.is_overdue = True
             call.host.overdue += 1
-            self._overdue[call] = self._stirred[call.host.destination] = None
-            self._enter(call.yields_at, call)
-            silent = call.host.used_at < call.sent_at  # it answered nothing in all that time
-            evidence = Evidence.OUTAGE if silent else Evidence.OWN_CAUSE  # it is up
-            if silent and call.idle >= STALE_LEAST:
-                evidence = Evidence.UNCLEAR  # that link may have been cut on the way
-            self._link_lost(call, EJECT_AT / 2 if silent else FAILED_WEIGHT, reset=False, evidence=evidence)
-
-    def _hosts_with_room(self, home: Destination) -> list[Host]:
-        """Hosts of the destination that may be sent a call now; notes when the next one may."""
-        hosts = [host for host in home.hosts if not host.left_at]  # rule 3; none yet: the grace allows others
-        hosts = hosts or [host for host in home.hosts if self._now < host.left_at + self._grace]
+            self._overdue_calls[call] = self._dirty[call.host.destination] = None
+            self._set_timer(call.cancellable_at, call)
+            silent = call.host.last_answer_at < call.sent_at  # no answer to any call in all that time
+            evidence = Evidence.OUTAGE if silent else Evidence.OWN_CAUSE  # a host that answers is up
+            if silent and call.idle_time >= MIN_STALE_IDLE_NS:
+                evidence = Evidence.UNCLEAR  # the connection may have been stale
+            self._record_lost_connection(
+                call, EJECT_AT / 2 if silent else FAILED_WEIGHT, reset=False, evidence=evidence
+            )
+
+    def _find_hosts_with_room(self, destination: Destination) -> list[Host]:
+        """Find the destination's hosts that may be sent a call now; set a timer for the others.
+
+        Where all hosts are draining, those within their grace period still count.
+        """
+        hosts = [host for host in destination.hosts if not host.drain_started_at]
+        hosts = hosts or [
+            host for host in destination.hosts if self._now < host.drain_started_at + self._drain_grace
+        ]
         return [host for host in hosts if self._has_room(host)]
 
-    def _log_opens(self, route: Route) -> int:
-        """When the send log next has room; its window is such that a whole count gives the exact limit."""
-        most = max(1, round(route.limit * WINDOW / SECOND))
-        window = int(SECOND * most / route.limit)
-        while route.log and route.log[0] <= self._now - max(window, ROUND):
-            route.log.popleft()
-        return route.log[-most] + window if len(route.log) >= most else 0
+    def _find_send_window_opening(self, scope: RateLimitScope) -> int:
+        """Return when the limit next admits a call.
+
+        The window is adjusted so that a whole number of calls in it gives exactly the limit.
+        """
+        max_calls = max(1, round(scope.limit * SEND_WINDOW_NS / SECOND))
+        window = int(SECOND * max_calls / scope.limit)
+        while scope.sent_times and scope.sent_times[0] <= self._now - max(window, AIMD_INTERVAL_NS):
+            scope.sent_times.popleft()
+        return scope.sent_times[-max_calls] + window if len(scope.sent_times) >= max_calls else 0
 
     def _has_room(self, host: Host) -> bool:
-        """Told waits, the windowed count against the limit, as designed; then what guards slots."""
-        route = host.route
+        """Whether the host may be sent a call: by its waits and its limit, then by slow start and slots."""
+        scope = host.limit_scope
         now = self._now
-        opens = max(
-            route.wait_until,
-            route.resume_at,
+        ready_at = max(
+            scope.retry_after_until,
+            scope.resume_at,
             self._slow_start.opens_at(host, now),
-            host.clear_at if host.tight(now) else 0,
+            host.table_full_until if host.has_full_table(now) else 0,
         )
-        if opens <= now:
-            if route.pressed and route.limit < route.top and now - route.raised_at >= ROUND:
-                route.limit = min(route.top, route.limit + RAISE * max(route.share, route.limit))
-                route.raised_at = now
-                route.pressed = False
-            opens = self._log_opens(route)
-            if opens > now:
-                route.pressed = True
-                if route.limit < route.top:
-                    opens = min(opens, route.raised_at + ROUND)
-        if opens > now:
-            self._look_again(host.destination, min(opens, self._slow_start.may_open_sooner(host, now)))
+        if ready_at <= now:
+            if (
+                scope.limit_reached
+                and scope.limit < scope.max_limit
+                and now - scope.increased_at >= AIMD_INTERVAL_NS
+            ):
+                scope.limit = min(
+                    scope.max_limit, scope.limit + INCREASE_FACTOR * max(scope.fair_share, scope.limit)
+                )
+                scope.increased_at = now
+                scope.limit_reached = False
+            ready_at = self._find_send_window_opening(scope)
+            if ready_at > now:
+                scope.limit_reached = True
+                if scope.limit < scope.max_limit:
+                    ready_at = min(ready_at, scope.increased_at + AIMD_INTERVAL_NS)
+        if ready_at > now:
+            self._schedule_check(host.destination, min(ready_at, self._slow_start.may_open_sooner(host, now)))
             return False
         held_back = self._slow_start.holds_back(host)
         return (
-            not held_back and route.out < self._route_slots and now + self._patience(host) <= self._leave_at
+            not held_back
+            and scope.in_flight < self._scope_slots
+            and now + self._compute_overdue_time(host) <= self._stop_at
         )
 
-    def _load(self, home: Destination) -> Load | None:
-        """The next call there: packets that lose most by waiting, weighed by gain a second of a slot."""
-        if not (hosts := self._hosts_with_room(home)):
+    def _find_candidate(self, destination: Destination) -> CandidateCall | None:
+        """Find the next call: the packets that lose most value by waiting, valued per second of a slot."""
+        if not (hosts := self._find_hosts_with_room(destination)):
             return None
-        took = min(host.latency for host in hosts) or self._aim // 8
+        call_time = min(host.latency for host in hosts) or self._target_latency // 8
         kind = hosts[0].kind
-        route = hosts[0].route
-        hosts = [host for host in hosts if host.kind == kind]  # a list may be behind on some
+        scope = hosts[0].limit_scope
+        hosts = [host for host in hosts if host.kind == kind]  # the list may be out of date for some
         trial = all(self._slow_start.on_trial(host) for host in hosts)
-        most = 1 if trial or kind >= len(self._bundle) else self._bundle[kind]
-        ranked = home.order.best(self._now + took, most, trial, {host.zone for host in hosts}, kind)
-        until = self._now + max(map(self._patience, hosts))  # what may not last as long as a call goes alone
-        ranked = [p for p in ranked if p is ranked[0] or min(p[1].hard_stop, ranked[0][1].hard_stop) > until]
-        if 0 < len(ranked) < most and not ranked[0][1].alone and self._now < route.cut_at + SCARCE:
-            since = min(packet.aim_at - packet.profile.quoted for _, packet in ranked)
-            if since + self._aim // GATHER > self._now:  # calls are short there
-                self._look_again(home, since + self._aim // GATHER)
+        max_packets = 1 if trial or kind >= len(self._max_batch) else self._max_batch[kind]
+        ranked = destination.order.best(
+            self._now + call_time, max_packets, trial, {host.zone for host in hosts}, kind
+        )
+        # A packet whose deadline may come before the end of the call travels alone.
+        until = self._now + max(map(self._compute_overdue_time, hosts))
+        ranked = [p for p in ranked if p is ranked[0] or min(p[1].deadline, ranked[0][1].deadline) > until]
+        if (
+            0 < len(ranked) < max_packets
+            and not ranked[0][1].travels_alone
+            and self._now < scope.backed_off_at + BATCH_WAIT_AFTER_BACK_OFF_NS
+        ):
+            # Calls are scarce after a back-off: a batch that is not full waits a little for more packets.
+            oldest_at = min(packet.target_at - packet.profile.quoted for _, packet in ranked)
+            if oldest_at + self._target_latency // BATCH_WAIT_DIVISOR > self._now:
+                self._schedule_check(destination, oldest_at + self._target_latency // BATCH_WAIT_DIVISOR)
                 return None
-        loss = sum(loss for loss, _ in ranked)  # in a quoted time
-        if ranked and (bound := ranked[0][1].bound) is not None:  # rule 2
-            hosts = [host for host in hosts if host.zone == bound]
-        return ranked and Load(loss * SECOND / took, loss, home, hosts, [p for _, p in ranked]) or None
-
-    def _burden(self, load: Load, host: Host) -> tuple[int, float]:
-        """What a call there costs: its fee, and the gain that its packets lose in the time it takes."""
-        busy = (
-            2 - (host.used_at > host.freed_at) + host.out + 2 * host.failure_score
-        )  # a new link: round trips
-        time = (1 if host.zone == self._zone else FAR) * busy * (MILLISECOND + host.latency)
-        bears_trials = all(packet.curve.bears_trials and not packet.last for packet in load.packets)
+        loss = sum(loss for loss, _ in ranked)  # of value, by waiting for one target latency
+        if ranked and (zone := ranked[0][1].bound_zone) is not None:  # only that zone detects a repeat
+            hosts = [host for host in hosts if host.zone == zone]
+        return (
+            ranked
+            and CandidateCall(loss * SECOND / call_time, loss, destination, hosts, [p for _, p in ranked])
+            or None
+        )
+
+    def _estimate_cost(self, candidate: CandidateCall, host: Host) -> tuple[int, float]:
+        """Estimate what the call costs at that host: its fee, and the value lost in the time it takes."""
+        # A new connection takes round trips of its own.
+        load_factor = (
+            2 - (host.last_answer_at > host.idle_closed_at) + host.in_flight + 2 * host.failure_score
+        )
+        call_time = (
+            (1 if host.zone == self._zone else REMOTE_ZONE_COST_FACTOR)
+            * load_factor
+            * (MILLISECOND + host.latency)
+        )
+        bears_trials = all(
+            packet.curve.bears_trials and not packet.on_last_trip for packet in candidate.packets
+        )
         rank = self._slow_start.rank(host, bears_trials)
-        return rank, host.fee * len(load.packets) + load.loss * time / self._aim
+        return rank, host.fee * len(candidate.packets) + candidate.loss * call_time / self._target_latency
 
-    def _call(self, host: Host, packets: list[Packet]) -> None:
-        """One call with all that travels in it; it is logged once."""
+    def _send_call(self, host: Host, packets: list[Packet]) -> None:
+        """Send one call with all its packets; against the limit it counts once."""
         now = self._now
-        route = host.route
+        scope = host.limit_scope
         call = Call(host, now, len(packets) > 1)
-        patience = self._patience(host)
-        self._refresh_links(host, call, packets)
+        overdue_time = self._compute_overdue_time(host)
+        self._close_stale_connections(host, call, packets)
         for packet in packets:
-            self._hold(packet, False)
-            call.carry(packet)
-            self._port.send(packet, host, self._time_out(packet, patience))
-        route.log.append(now)
-        route.out += 1
-        host.out += 1
-        self._out += 1
+            self._set_held(packet, False)
+            call.add_trip(packet)
+            self._port.send(packet, host, self._compute_trip_timeout(packet, overdue_time))
+        scope.sent_times.append(now)
+        scope.in_flight += 1
+        host.in_flight += 1
+        self._in_flight += 1
         self._slow_start.sent(host, now)
-        # Giving up loses what can't go again; where no copies may run, all that no idle link has swallowed.
-        lost = any(p.profile.effect is Effect.SINGLE_USE for p in packets)
-        lost |= not self._copies and call.idle < STALE_LEAST
-        call.yields_at = now + patience * (1 + lost)
-        call.overdue_at = now + patience
-        self._enter(call.overdue_at, call)
+        # Cancelling loses packets that cannot be sent again: the non-idempotent ones, and where no second
+        # copy may run, all but those that a stale connection may have lost.
+        loses_packets = any(p.profile.effect is Effect.SINGLE_USE for p in packets)
+        loses_packets |= not self._allows_second_copies and call.idle_time < MIN_STALE_IDLE_NS
+        call.cancellable_at = now + overdue_time * (1 + loses_packets)
+        call.overdue_at = now + overdue_time
+        self._set_timer(call.overdue_at, call)
         if call.shared:
-            self._enter(call.stop - self._margin, call)
+            self._set_timer(call.deadline - self._margin, call)
 
-    def _patience(self, host: Host) -> int:
-        return max(self._aim // 4, host.latency + SPREADS * host.spread) if host.latency else self._aim
+    def _compute_overdue_time(self, host: Host) -> int:
+        """Return after how long without an answer a call to the host is overdue."""
+        return (
+            max(self._target_latency // 4, host.latency + OVERDUE_DEVIATIONS * host.latency_deviation)
+            if host.latency
+            else self._target_latency
+        )
 
-    def _time_out(self, packet: Packet, patience: int) -> int:
-        """Only what may run again at any time comes back, and only if copies may run: it may run on there."""
-        wait = max(self._aim, 2 * patience) * len(packet.trips)
-        again = packet.profile.effect is Effect.REPLAYABLE and self._copies
-        return wait if again and self._now + wait < packet.hard_stop else 0
+    def _compute_trip_timeout(self, packet: Packet, overdue_time: int) -> int:
+        """Return the timeout of a trip, 0 for none but the deadline.
+
+        After a timeout the trip may still run, so only idempotent packets have one, and only where second
+        copies are allowed.
+        """
+        timeout = max(self._target_latency, 2 * overdue_time) * len(packet.trips)
+        retryable = packet.profile.effect is Effect.REPLAYABLE and self._allows_second_copies
+        return timeout if retryable and self._now + timeout < packet.deadline else 0
--- a/millweir/events.py
+++ b/millweir/events.py
@@ -17,12 +17,12 @@
 
 @dataclass(frozen=True, slots=True)
 class HostTransition:
-    """One change of a host's state; `pace`: calls a second that it may be sent from now on."""
+    """One change of a host's state; `slow_start_rate`: calls a second that it may be sent from now on."""
 
     host: bytes
     state: HostState
     cause: str
-    pace: float
+    slow_start_rate: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,7 +30,7 @@
     """What is believed of a host, as the log tells it beside each call that went wrong."""
 
     state: HostState
-    well_at: int  # when a call to it went well last; 0: none in this life
+    last_success_at: int  # when a call to it went well last; 0: none in this life
     limit: float  # calls a second that may be sent there, as learned
 
 
@@ -40,7 +40,7 @@
 
     host: bytes
     seen_at: int  # when its last call failed or was refused
-    pace: float  # calls a second at the begin of its slow start; 0: not in it
+    slow_start_rate: float  # calls a second at the begin of its slow start; 0: not in it
     recovered_at: int  # when the first call went well; 0 while none has
     limit: float  # calls a second, as learned from refusals; 0: its last call was not refused
 
--- a/millweir/facade.py
+++ b/millweir/facade.py
@@ -46,7 +46,7 @@
     @property
     def answer_by(self) -> int:
         """When the time of the first of its messages is up."""
-        return self._call.stop
+        return self._call.deadline
 
 
 class Ending(Generic[Item]):
@@ -85,16 +85,16 @@
 
         `left`: its time; `lag`: how late requests were answered of late.
         """
-        return self._relay.refusal(destination, size, room, left, lag)
+        return self._relay.check_admission(destination, size, room, left, lag)
 
     @property
     def refused_for(self) -> RefusalReason:
         """Why the last message was refused."""
-        return self._relay.refused_for
+        return self._relay.refusal_reason
 
     def transition(self) -> HostTransition | None:
         """The next change of a host's state that the log has not been told of."""
-        return self._relay.transition()
+        return self._relay.pop_transition()
 
     def take(
         self,
@@ -114,12 +114,12 @@
         """
         ident = self._idents()
         self._now, self._items[ident] = now, item
-        self._relay.packet_taken(now, ident, profile, tenant, key, hard_stop, destination, earlier, restored)
+        self._relay.add_packet(now, ident, profile, tenant, key, hard_stop, destination, earlier, restored)
 
     def told(self, now: int, change: Change, entries: tuple[Entry, ...], came_at: int = 0) -> None:
         """News of the list; `came_at`: when it may have come, where this process stood still meanwhile."""
         self._now = now
-        self._relay.list_told(now, change, entries, came_at or now)
+        self._relay.update_hosts(now, change, entries, came_at or now)
 
     def report(
         self,
@@ -135,69 +135,71 @@
             return
         self._now = now
         ident, latency = part._packet.id, now - part.job.picked_at
-        self._relay.trip_ended(now, ident, part._number, outcome, finished, latency, wait, load)
+        self._relay.end_trip(now, ident, part._number, outcome, finished, latency, wait, load)
         if finished:
             self._items.pop(ident, None)
 
     def rest(self, failures: int) -> int:
         """How long until discovery is asked, after so many failures in a row."""
-        return self._relay.rest(failures)
+        return self._relay.draw_discovery_back_off(failures)
 
     def cordon(self, now: int, host: bytes, out: bool, since: int = 0) -> bool:
         """A host out by hand, since then (0: now), or back; False for an id that no list ever named."""
         self._now = now
-        return self._relay.host_cordoned(now, host, out, since or now)
+        return self._relay.set_cordon(now, host, out, since or now)
 
     def settings_told(self, settings: Settings) -> int:
         """Settings read at SIGHUP, with only the profiles that are new or changed; returns the number of
         the first of them."""
         first = len(self._relay._profiles)
-        self._relay.settings_told(settings)
+        self._relay.update_settings(settings)
         return first
 
     def wait_told(self, now: int, host: bytes, until: int) -> None:
         """A wait told to a process beside this one, until then."""
         self._now = now
-        self._relay.wait_told(now, host, until)
+        self._relay.apply_retry_after(now, host, until)
 
     def host_view(self, host: bytes) -> HostView | None:
         """What is believed of a host; None where it is not known."""
-        return self._relay.host_view(host)
+        return self._relay.view_host(host)
 
     @property
     def cold_changes(self) -> int:
-        """Grows with each change of what `cold_hosts` tells."""
-        return self._relay.cold_changes
+        """Grows with each change of what `list_recovering_hosts` tells."""
+        return self._relay.recovering_changes
 
     def cold_hosts(self) -> list[ColdHost]:
         """Hosts that are cold or whose last call went wrong, for the next process and the one beside."""
-        return self._relay.cold_hosts()
+        return self._relay.list_recovering_hosts()
 
     def cold_told(self, now: int, cold: ColdHost) -> bool:
         """What such a process knew of a host; False where no list has named it yet."""
         self._now = now
-        return self._relay.cold_told(now, cold)
+        return self._relay.restore_host(now, cold)
 
     def earlier_failure(self, now: int, destination: int, failed_at: int) -> None:
         """An attempt of an earlier life never ran there, and nothing more is known of that."""
         self._now = now
-        self._relay.earlier_failure(now, destination, failed_at)
+        self._relay.report_earlier_failure(now, destination, failed_at)
 
     def targets(self) -> tuple[int, int]:
         """Hosts in the list, and of those the ones avoided now: out by hand, draining, or set aside."""
         listed = [host for host in self._relay._hosts.values() if host in host.destination.hosts]
-        return len(listed), sum(1 for host in listed if host.left_at or (host.pace and not host.recovered_at))
+        return len(listed), sum(
+            1 for host in listed if host.drain_started_at or (host.slow_start_rate and not host.recovered_at)
+        )
 
     def leave(self, leave_at: int, replaced: bool = False) -> None:
         """The process is to stop then; `replaced`: by one that is at work already."""
-        self._relay.leave(leave_at, replaced)
+        self._relay.begin_shutdown(leave_at, replaced)
 
     # What the caller asks for.
 
     def tick(self, now: int) -> int:
         """All that came in together has been told; returns when to tick again at the latest, 0 for never."""
         self._now = now
-        self._relay.round_over(now)
+        self._relay.end_round(now)
         self._filling.clear()
         return self._due if self._due > now else 0
 
@@ -230,7 +232,7 @@
         if job is None:
             job = self._filling[call] = Job(host, call, self._now)
             self._jobs.append(job)
-        until = self._now + time_out if time_out else packet.hard_stop
+        until = self._now + time_out if time_out else packet.deadline
         part = Part(self._items[packet.id], job, until, packet, number)
         job.parts.append(part)
         self._parts[packet, number] = part
--- a/millweir/interface.py
+++ b/millweir/interface.py
@@ -84,7 +84,7 @@
     """A class of packets."""
 
     name: str
-    gain: float
+    value: float
     quoted: int
     give_up: int
     late_share: float
--- a/millweir/lab/outages/fleet.py
+++ b/millweir/lab/outages/fleet.py
@@ -58,17 +58,17 @@
         self.relay = Relay(self, fleet.settings, fleet.chance.getrandbits(32), fleet.now)
         self._owns = set(self.folder.owed)
         if listed:
-            self.relay.list_told(fleet.now, Change.CACHED, fleet.entries())
+            self.relay.update_hosts(fleet.now, Change.CACHED, fleet.entries())
         self._read_folder()
         for ident in list(self._owns):
             self._hand_in(ident, restored=True)
 
     def _read_folder(self) -> None:
         for cold in self.folder.cold:
-            self.relay.cold_told(self._fleet.now, cold)
+            self.relay.restore_host(self._fleet.now, cold)
         for host, until in self.folder.waits.items():
             if until > self._fleet.now:
-                self.relay.wait_told(self._fleet.now, host, until)
+                self.relay.apply_retry_after(self._fleet.now, host, until)
 
     def take(self, ident: int, message: OwedMessage) -> None:
         """A client hands in a message."""
@@ -87,21 +87,21 @@
     def _hand_in(self, ident: int, restored: bool = False) -> None:
         message = self.folder.owed[ident]
         earlier = tuple((at, bool(void)) for at, void in message.attempts)
-        self.relay.packet_taken(
+        self.relay.add_packet(
             self._fleet.now, ident, message.profile, 0, 0, message.hard_stop, 0, earlier, restored
         )
 
     def list_told(self, change: Change, entries: tuple[Entry, ...]) -> None:
         """News of the list of hosts."""
         if not self.dead:
-            self.relay.list_told(self._fleet.now, change, entries)
+            self.relay.update_hosts(self._fleet.now, change, entries)
             self._read_folder()
             self.turn()
 
     def cordon(self, out: bool) -> None:
         """All hosts out by hand, or back."""
         for entry in self._fleet.entries() if not self.dead else ():
-            self.relay.host_cordoned(self._fleet.now, entry.host, out, self._fleet.now)
+            self.relay.set_cordon(self._fleet.now, entry.host, out, self._fleet.now)
         self.turn()
 
     def outcome(self, ident: int, number: int, outcome: Outcome, sent_at: int, wait: int, host: Host) -> None:
@@ -118,23 +118,23 @@
         fulfilled = outcome is Outcome.FULFILLED
         if fulfilled:
             self.folder.owed.pop(ident, None)
-        self.relay.trip_ended(now, ident, number, outcome, fulfilled or not message, now - sent_at, wait, ())
+        self.relay.end_trip(now, ident, number, outcome, fulfilled or not message, now - sent_at, wait, ())
         self.turn()
 
     def turn(self) -> None:
         """The end of a round."""
         if self.dead:
             return
-        self.relay.round_over(self._fleet.now)
-        if self.relay.cold_changes != self._written and not self._writing:
+        self.relay.end_round(self._fleet.now)
+        if self.relay.recovering_changes != self._written and not self._writing:
             self._writing = True
             self._fleet.at(WRITE_DELAY, self._write)
 
     def _write(self) -> None:
         self._writing = False
-        self._written = self.relay.cold_changes
+        self._written = self.relay.recovering_changes
         if not self.dead:
-            self.folder.cold = self.relay.cold_hosts()
+            self.folder.cold = self.relay.list_recovering_hosts()
 
     # The port of the decisions.
 
@@ -234,7 +234,7 @@
         def later(delay: int, outcome: Outcome, wait: int = 0) -> None:
             self.at(delay, lambda: process.outcome(ident, number, outcome, sent_at, wait, host))
 
-        later(min(time_out or packet.hard_stop, packet.hard_stop - self.now), Outcome.TIMED_OUT)
+        later(min(time_out or packet.deadline, packet.deadline - self.now), Outcome.TIMED_OUT)
         arrives = self.now + TRANSIT
         for at, (out_at, back_at) in enumerate(self._outages):
             if out_at <= arrives < back_at:
@@ -345,7 +345,7 @@
         new = self.processes[number] = Process(self, number)
         owed.update(new.folder.owed)
         old.folder.owed = owed
-        old.relay.leave(self.now + LEAVE_TIME, replaced=True)
+        old.relay.begin_shutdown(self.now + LEAVE_TIME, replaced=True)
         new.turn()
 
         def over() -> None:
--- a/millweir/lab/scale/cores.py
+++ b/millweir/lab/scale/cores.py
@@ -81,24 +81,24 @@
     def list_all(self, size: int) -> None:
         """So many destinations are listed."""
         for some in chunks(size):
-            self.relay.list_told(self.now, Change.DELTA, some)
-        self.relay.round_over(self.now)
+            self.relay.update_hosts(self.now, Change.DELTA, some)
+        self.relay.end_round(self.now)
 
     def take(self, destination: int, life: int = 6 * SECOND) -> None:
         """A message is handed in for that destination."""
         self._idents += 1
         stop = self.now + life
-        self.relay.packet_taken(self.now, self._idents, SERVICE_CLASS, TENANT, 0, stop, destination)
+        self.relay.add_packet(self.now, self._idents, SERVICE_CLASS, TENANT, 0, stop, destination)
 
     def answer(self, outcome: Outcome = Outcome.FULFILLED, wait: int = 0) -> None:
         """The call that was sent first has ended."""
         packet, number = self.sent.popleft()
         delivered = outcome is Outcome.FULFILLED
         latency = 10 * MILLISECOND
-        self.relay.trip_ended(self.now, packet.id, number, outcome, delivered, latency, wait, ())
+        self.relay.end_trip(self.now, packet.id, number, outcome, delivered, latency, wait, ())
 
     def turn(self) -> None:
-        self.relay.round_over(self.now)
+        self.relay.end_round(self.now)
 
 
 class Engine:
--- a/millweir/lab/scale/decisions.py
+++ b/millweir/lab/scale/decisions.py
@@ -79,11 +79,11 @@
     for _ in range(LISTS * (3 if subject.size <= SMALL else 1)):
         core = Core(settings(), seed)
         with Stopwatch() as listing:
-            core.relay.list_told(core.now, Change.FULL, entries)
+            core.relay.update_hosts(core.now, Change.FULL, entries)
         with Stopwatch() as turning:
             core.turn()
         with Stopwatch() as repeating:
-            core.relay.list_told(core.now, Change.FULL, (*entries[:-1], entry(subject.size - 1, rate=1.0)))
+            core.relay.update_hosts(core.now, Change.FULL, (*entries[:-1], entry(subject.size - 1, rate=1.0)))
         lists.append(listing.seconds)
         turns.append(turning.seconds)
         again.append(repeating.seconds)
@@ -105,7 +105,7 @@
         changed += 1
         core.now += SECOND
         with meter:
-            core.relay.list_told(core.now, Change.DELTA, rows)
+            core.relay.update_hosts(core.now, Change.DELTA, rows)
         core.turn()
 
     def turn(meter: AbstractContextManager) -> None:
--- a/millweir/lab/scale/held.py
+++ b/millweir/lab/scale/held.py
@@ -99,7 +99,7 @@
 
 def told_to_wait(core: Core, size: int) -> Core:
     for number in range(destinations(size)):
-        core.relay.wait_told(core.now, host_name(number), core.now + WAIT)
+        core.relay.apply_retry_after(core.now, host_name(number), core.now + WAIT)
     return core
 
 
@@ -143,7 +143,7 @@
         core = Core(settings(), seed)
         hold(core, subject.size)
         with Stopwatch() as watch:
-            core.relay.list_told(core.now, Change.CACHED, entries)
+            core.relay.update_hosts(core.now, Change.CACHED, entries)
             core.turn()
         lists.append(watch.seconds)
     yield subject.figure("first-list", "s", Spread.of(lists))
@@ -181,7 +181,7 @@
         changed += 1
         core.now += SECOND
         with meter:
-            core.relay.list_told(core.now, Change.DELTA, rows)
+            core.relay.update_hosts(core.now, Change.DELTA, rows)
             core.turn()
 
     def turn(meter: AbstractContextManager) -> None:
--- a/millweir/lab/scale/placement_senders.py
+++ b/millweir/lab/scale/placement_senders.py
@@ -113,7 +113,7 @@
         settings = settings_for(run.relays)
         self.relay = Relay(self, settings, run.seed * 100_003 + number, run.now)
         entry = Entry(HOST, 0, 0, DESTINATION, Phase.READY, run.listed)
-        self.relay.list_told(run.now, Change.FULL, (entry,))
+        self.relay.update_hosts(run.now, Change.FULL, (entry,))
 
     def send(self, packet: Packet, host: Host, time_out: int) -> None:
         self._run.called(self._number, packet.id, len(packet.trips) - 1)
@@ -137,7 +137,7 @@
         """The list never changes here."""
 
     def _ring(self) -> None:
-        self.relay.round_over(self._run.now)
+        self.relay.end_round(self._run.now)
 
 
 class Senders:
@@ -178,15 +178,15 @@
 
         def ended() -> None:
             relay, done = self.senders[number].relay, outcome is Outcome.FULFILLED
-            relay.trip_ended(self.now, message, trip, outcome, done, self.now - sent_at, 0, ())
-            relay.round_over(self.now)
+            relay.end_trip(self.now, message, trip, outcome, done, self.now - sent_at, 0, ())
+            relay.end_round(self.now)
 
         self.schedule(sent_at + ANSWER_TIME, ended)
 
     def _hand_in(self) -> None:
         relay = self.senders[self._chance.randrange(self.relays)].relay
-        relay.packet_taken(self.now, self._order(), 0, 0, 0, self.now + CLASS.give_up, DESTINATION)
-        relay.round_over(self.now)
+        relay.add_packet(self.now, self._order(), 0, 0, 0, self.now + CLASS.give_up, DESTINATION)
+        relay.end_round(self.now)
 
 
 @dataclass(frozen=True, slots=True)
@@ -236,7 +236,7 @@
 
 def limits_held(run: Senders) -> float:
     """The sum of the relays' limits, as learned by the end, over the true one."""
-    return sum(sender.relay._hosts[HOST].route.limit for sender in run.senders) / LISTED_RATE
+    return sum(sender.relay._hosts[HOST].limit_scope.limit for sender in run.senders) / LISTED_RATE
 
 
 def notice_times(run: Senders, outage: Outage = OUTAGE) -> tuple[list[float], int]:
--- a/millweir/net/cold_hosts.py
+++ b/millweir/net/cold_hosts.py
@@ -56,15 +56,20 @@
     return ColdHostsFile(0, [replace(host, seen_at=now, recovered_at=0) for host in hosts])
 
 
-def _decode_host(name: str, seen_at: int, pace: float, recovered_at: int, limit: float) -> ColdHost:
-    if not all(0 <= figure < 1 << 63 for figure in (seen_at, pace, recovered_at, limit)):
+def _decode_host(
+    name: str, seen_at: int, slow_start_rate: float, recovered_at: int, limit: float
+) -> ColdHost:
+    if not all(0 <= figure < 1 << 63 for figure in (seen_at, slow_start_rate, recovered_at, limit)):
         raise ValueError(f"figures out of range for {name[:80]!r}")
-    return ColdHost(name.encode(), int(seen_at), float(pace), int(recovered_at), float(limit))
+    return ColdHost(name.encode(), int(seen_at), float(slow_start_rate), int(recovered_at), float(limit))
 
 
 def encode_cold_hosts(hosts: Iterable[ColdHost], boot: str, now: int) -> bytes:
     """The content of such a file."""
-    rows = {host.host.decode(): (host.seen_at, host.pace, host.recovered_at, host.limit) for host in hosts}
+    rows = {
+        host.host.decode(): (host.seen_at, host.slow_start_rate, host.recovered_at, host.limit)
+        for host in hosts
+    }
     content = {"boot": boot, "written_at": now, "hosts": rows}
     return json.dumps(content, separators=(",", ":")).encode()
 
--- a/millweir/net/desk.py
+++ b/millweir/net/desk.py
@@ -281,7 +281,7 @@
         while change := self._facade.transition():
             self._log.say(
                 f"host-state peer={change.host.decode()} state={change.state.value} "
-                f"cause={change.cause!r} pace={change.pace:.4f}"
+                f"cause={change.cause!r} pace={change.slow_start_rate:.4f}"
             )
         while name := self._facade.freed():
             self._hosts.free(name)
@@ -400,7 +400,7 @@
         view = self._facade.host_view(part.job.host.encode())
         believed = ""
         if view:
-            well = (clock.steady() - view.well_at) // MILLISECOND if view.well_at else -1
+            well = (clock.steady() - view.last_success_at) // MILLISECOND if view.last_success_at else -1
             believed = f" state={view.state.value} well_ms_ago={well} limit={view.limit:.3f}"
         self._log.say(
             f"attempt-failed id={part.item.id.decode()} peer={part.job.host} "
--- a/millweir/order.py
+++ b/millweir/order.py
@@ -54,13 +54,13 @@
         self._lines: defaultdict[tuple, SortedList] = defaultdict(SortedList)
 
     def _line(self, packet: Packet, weight: float) -> SortedList:
-        return self._lines[packet.curve, weight, packet.alone, packet.bound, packet.last]
+        return self._lines[packet.curve, weight, packet.travels_alone, packet.bound_zone, packet.on_last_trip]
 
     def add(self, packet: Packet, weight: float) -> None:
-        self._line(packet, weight).add((packet.aim_at, packet.nth, packet))
+        self._line(packet, weight).add((packet.target_at, packet.sequence_number, packet))
 
     def remove(self, packet: Packet, weight: float) -> None:
-        self._line(packet, weight).remove((packet.aim_at, packet.nth, packet))
+        self._line(packet, weight).remove((packet.target_at, packet.sequence_number, packet))
 
     def best(self, at: int, most: int, trial: bool, zones: set[int], kind: int) -> list[tuple[float, Packet]]:
         """Those that may go there and lose most by waiting past that time; what bears no trial goes last."""
@@ -70,11 +70,11 @@
                 continue
             bears = curve.bears_trials and not last or not trial
             for packet in curve.best(line, at, most) if line else ():
-                loss = weight * curve.loss(at - packet.aim_at) if bears else 0.0001 / (1 + weight)
+                loss = weight * curve.loss(at - packet.target_at) if bears else 0.0001 / (1 + weight)
                 found.append((loss, packet))
         found.sort(key=itemgetter(0), reverse=True)
-        alike = [p for p in found if not p[1].alone and p[1].bound == found[0][1].bound]
-        return found[:1] if found and found[0][1].alone else alike[:most]
+        alike = [p for p in found if not p[1].travels_alone and p[1].bound_zone == found[0][1].bound_zone]
+        return found[:1] if found and found[0][1].travels_alone else alike[:most]
 
     def least(self, at: int) -> Packet | None:
         """The packet that is worth least when fulfilled at that time: in each line the latest."""
--- a/millweir/records.py
+++ b/millweir/records.py
@@ -1,4 +1,8 @@
-"""Bare records of the decision module; every decision on them is in control.py."""
+"""Records of the decision core: hosts, destinations, packets, calls and timers.
+
+They hold state and decide nothing; the decisions are in control.py and slow_start.py.  Times are in
+nanoseconds, rates in calls per second.
+"""
 
 from __future__ import annotations
 
@@ -18,245 +22,261 @@
 NEVER = 1 << 62
 
 
-class Route:
-    """What one limit holds for: a destination, or one host of it where routes are apart."""
+class RateLimitScope:
+    """What one rate limit holds for: a destination, or one of its hosts where each host has its own limit."""
 
     __slots__ = (
-        "cut_at",
+        "backed_off_at",
         "last_ejected",
         "last_trial_at",
         "limit",
-        "listed",
-        "log",
-        "out",
-        "pressed",
-        "raised_at",
+        "listed_rate",
+        "sent_times",
+        "in_flight",
+        "limit_reached",
+        "increased_at",
         "resume_at",
-        "share",
-        "top",
-        "turned",
-        "turned_at",
-        "wait_until",
+        "fair_share",
+        "max_limit",
+        "rejected_connects",
+        "connect_rejected_at",
+        "retry_after_until",
     )
 
-    def __init__(self, listed: float, share: float, top: float, now: int) -> None:
-        self.listed = listed
-        self.limit = share
-        self.share = share
-        self.top = top
-        self.log: deque[int] = deque()
-        self.out = 0
-        self.wait_until = 0
-        self.pressed = False
-        self.raised_at = now
-        self.cut_at = now - 1  # nothing is known of its limit yet
-        self.turned = 0
-        self.turned_at = -NEVER
-        self.last_ejected: Host | None = None  # the host there that was set aside last
-        self.last_trial_at = -NEVER  # of any ejected host there
-        self.resume_at = 0  # nothing is sent before that, at random behind the end of a wait
+    def __init__(self, listed_rate: float, fair_share: float, max_limit: float, now: int) -> None:
+        self.listed_rate = listed_rate
+        self.limit = fair_share
+        self.fair_share = fair_share  # of the limit, with an equal part for each relay
+        self.max_limit = max_limit
+        self.sent_times: deque[int] = deque()  # of the last calls, oldest first
+        self.in_flight = 0  # calls
+        self.retry_after_until = 0
+        self.limit_reached = False  # since the last increase
+        self.increased_at = now  # NEVER: from a refusal until a call succeeds
+        self.backed_off_at = now - 1  # the limit is not known yet, as after a back-off
+        self.rejected_connects = 0  # in a row
+        self.connect_rejected_at = -NEVER
+        self.last_ejected: Host | None = None  # the host that was ejected last
+        self.last_trial_at = -NEVER  # trial call to any ejected host
+        self.resume_at = 0  # nothing is sent before: a random time after the end of a retry-after
 
 
 class Host:
-    """All that is known of one host."""
+    """What is known of one host."""
 
     __slots__ = (
-        "clear_at",
+        "table_full_until",
         "confirm_by",
         "destination",
         "ejected_at",
-        "failed_at",
+        "last_failure_at",
         "failure_score",
         "fee",
-        "freed_at",
+        "idle_closed_at",
         "id",
-        "idle_lost",
+        "idle_before_loss",
         "kind",
         "last_call_at",
         "latency",
-        "left_at",
-        "lingering",
-        "links",
-        "lost",
-        "out",
+        "drain_started_at",
+        "abandoned_packets",
+        "calls_when_full",
+        "idle_losses",
+        "in_flight",
         "overdue",
-        "pace",
+        "slow_start_rate",
         "ready",
         "recovered_at",
-        "refused_at",
-        "refused_in_row",
-        "route",
-        "spread",
-        "stale_at",
+        "last_refusal_at",
+        "consecutive_refusals",
+        "limit_scope",
+        "latency_deviation",
+        "connections_stale_at",
         "suspected_at",
-        "used_at",
-        "well_at",
+        "last_answer_at",
+        "last_success_at",
         "zone",
     )
 
-    def __init__(self, entry: Entry, destination: Destination, route: Route, fee: float) -> None:
+    def __init__(
+        self, entry: Entry, destination: Destination, limit_scope: RateLimitScope, fee: float
+    ) -> None:
         self.id = entry.host
-        self.fee = fee  # of gain, for each packet that it takes on
+        self.fee = fee  # of value, for each packet sent to it
         self.kind = entry.kind
         self.zone = entry.zone
         self.destination = destination
-        self.route = route
-        self.left_at = 0
-        self.ready = False  # as the list says
-        self.out = 0
-        self.overdue = 0
-        self.latency = 0
-        self.spread = 0
-        self.links = 0
-        self.clear_at = 0
-        self.failed_at = 0  # when a call to it failed last
-        self.refused_at = 0  # when a call to it was refused last
-        self.refused_in_row = 0  # calls refused with none gone well between
+        self.limit_scope = limit_scope
+        self.drain_started_at = 0  # since when it is draining, removed or cordoned; 0: it is not
+        self.ready = False  # by the list
+        self.in_flight = 0  # calls
+        self.overdue = 0  # calls in flight past their expected time
+        self.latency = 0  # moving average of successful calls; 0: none yet
+        self.latency_deviation = 0  # moving average of the absolute deviation
+        self.calls_when_full = 0  # in flight when it last rejected a connection
+        self.table_full_until = 0  # its connection table is taken for full until then
+        self.last_failure_at = 0
+        self.last_refusal_at = 0
+        self.consecutive_refusals = 0  # since the last successful call
         self.failure_score = 0.0
-        self.pace = 0.0
-        self.well_at = 0  # when a call to it went well last; 0: none in this life
-        self.suspected_at = 0  # when its first call failed, while that is all that is known
-        self.confirm_by = 0  # until when one more call may follow that at once
+        self.slow_start_rate = 0.0  # at the start of its slow start; 0: it is in none
+        self.last_success_at = 0  # 0: none in this process run
+        self.suspected_at = 0  # time of its first failed call, while there is no other evidence
+        self.confirm_by = 0  # one more call may follow that at once until then
         self.ejected_at = 0
-        self.recovered_at = 0
+        self.recovered_at = 0  # time of the first successful call since the ejection; 0: none yet
         self.last_call_at = 0
-        self.used_at = 0
-        self.lost = 0
-        self.freed_at = 0
-        self.stale_at = -NEVER
-        self.idle_lost = 0
-        self.lingering: list[Packet] = []  # whose trips here were given up and may run on
-
-    def eject_like(self, other: Host) -> None:
-        """It has that one's place in its way back."""
+        self.last_answer_at = 0
+        self.idle_losses = 0  # calls lost on idle connections in a row; a reset counts twice
+        self.idle_closed_at = 0  # when this relay last closed its idle connections to it
+        self.connections_stale_at = -NEVER  # when its idle connections were last found stale
+        self.idle_before_loss = 0  # shortest idle time of a connection that lost a call, of those in a row
+        self.abandoned_packets: list[Packet] = []  # their trips here were given up and may still run
+
+    def copy_ejection(self, other: Host) -> None:
+        """Take over the slow-start state of another host."""
         self.failure_score = other.failure_score
-        self.pace = other.pace
+        self.slow_start_rate = other.slow_start_rate
         self.ejected_at = other.ejected_at
         self.recovered_at = other.recovered_at
         self.last_call_at = other.last_call_at
         self.suspected_at = other.suspected_at
 
-    def tight(self, now: int) -> bool:
-        """Its connection table was full a moment ago, and it has as many calls as then."""
-        return self.out >= self.links and self.clear_at > now
+    def has_full_table(self, now: int) -> bool:
+        """Whether its connection table was full a moment ago and it still has as many calls in flight."""
+        return self.in_flight >= self.calls_when_full and self.table_full_until > now
 
 
 class Destination:
-    """Where packets are bound, with its hosts and the packets held for it."""
+    """A destination of packets, with its hosts and the packets held for it."""
 
-    __slots__ = ("due_at", "held", "hosts", "load", "order", "route", "taken", "weighed_at")
+    __slots__ = (
+        "next_check_at",
+        "held",
+        "hosts",
+        "candidate",
+        "order",
+        "limit_scope",
+        "accepted_count",
+        "evaluated_at",
+    )
 
     def __init__(self, order: Order) -> None:
-        self.hosts: dict[Host, None] = {}  # those that the list names
-        self.order = order  # held packets that may go, but for their hosts
-        self.held = 0  # all held packets
-        self.load: Load | None = None  # the next call here, as weighed last
-        self.weighed_at = -1
-        self.due_at = 0  # when it is to be looked at again
-        self.route: Route | None = None
-        self.taken = 0
+        self.hosts: dict[Host, None] = {}  # those in the list
+        self.order = order  # held packets that may be sent once a host has room
+        self.held = 0  # number of held packets
+        self.candidate: CandidateCall | None = None  # its next call, as evaluated last
+        self.evaluated_at = -1
+        self.next_check_at = 0  # when its timer makes it dirty
+        self.limit_scope: RateLimitScope | None = None
+        self.accepted_count = 0  # packets handed in to this process
 
 
-class Load:
+class CandidateCall:
     """A call that might be made next."""
 
-    __slots__ = ("home", "hosts", "loss", "packets", "saved")
+    __slots__ = ("destination", "hosts", "loss", "packets", "value_per_second")
 
     def __init__(
-        self, saved: float, loss: float, home: Destination, hosts: list[Host], packets: list[Packet]
+        self,
+        value_per_second: float,
+        loss: float,
+        destination: Destination,
+        hosts: list[Host],
+        packets: list[Packet],
     ) -> None:
-        self.saved = saved  # gain for each second of a slot
-        self.loss = loss  # of gain, if it were put off for a quoted time
-        self.home = home
+        self.value_per_second = value_per_second  # saved, for each second of a slot
+        self.loss = loss  # of value, if the call were put off for one target latency
+        self.destination = destination
         self.hosts = hosts
         self.packets = packets
 
 
-class Key:
-    """Packets of one key in the order taken."""
+class OrderingKey:
+    """The queue of the packets of one key, in the order accepted."""
 
-    __slots__ = ("id", "line", "rest_until")
+    __slots__ = ("id", "queue", "quiet_until")
 
     def __init__(self, ident: int) -> None:
         self.id = ident
-        self.line: deque[Packet] = deque()
-        self.rest_until = 0
+        self.queue: deque[Packet] = deque()
+        self.quiet_until = 0  # after a trip that may still run, the next packet waits until then
 
 
 class Call:
-    """One call out to a host; packets sent to it in one turn share it."""
+    """One call to a host; packets that are sent to it together share it as a batch."""
 
     __slots__ = (
-        "fresh",
-        "given_up",
+        "on_new_connection",
+        "cancelled",
         "host",
-        "idle",
-        "judged",
-        "late",
-        "left",
+        "idle_time",
+        "outcome_recorded",
+        "is_overdue",
+        "trips_remaining",
         "overdue_at",
         "sent_at",
         "shared",
-        "stop",
+        "deadline",
         "trips",
-        "yields_at",
+        "cancellable_at",
     )
 
     def __init__(self, host: Host | None, sent_at: int, shared: bool) -> None:
-        self.host = host  # none for a call made before a restart
+        self.host = host  # None for a call from before the restart
         self.sent_at = sent_at
         self.shared = shared  # by several packets
-        self.left = 0
-        self.late = False
-        self.judged = False
-        self.given_up = False
-        self.idle = 0
-        self.fresh = False
+        self.trips_remaining = 0
+        self.is_overdue = False
+        self.outcome_recorded = False
+        self.cancelled = False
+        self.idle_time = 0  # for how long its connection may have been idle before
+        self.on_new_connection = False  # idle connections were closed for it
         self.overdue_at = 0
-        self.yields_at = 0
-        self.stop = NEVER  # when the first of its packets has to end
+        self.cancellable_at = 0  # when it may be cancelled to free its slot
+        self.deadline = NEVER  # the earliest of its packets' deadlines
         self.trips: list[tuple[Packet, int]] = []
 
-    def carry(self, packet: Packet) -> None:
-        """One packet more travels in it."""
-        self.stop = min(self.stop, packet.hard_stop)
+    def add_trip(self, packet: Packet) -> None:
+        """Add a trip of the packet to this call."""
+        self.deadline = min(self.deadline, packet.deadline)
         self.trips.append((packet, len(packet.trips)))
         packet.trips.append(Trip(self))
-        packet.out += 1
-        self.left += 1
+        packet.in_flight += 1
+        self.trips_remaining += 1
 
 
 class Trip:
-    """One packet's part in a call."""
+    """One packet's part in one call."""
 
-    __slots__ = ("call", "over", "void")
+    __slots__ = ("call", "has_ended", "never_ran")
 
-    def __init__(self, call: Call, over: bool = False, void: bool = False) -> None:
+    def __init__(self, call: Call, has_ended: bool = False, never_ran: bool = False) -> None:
         self.call = call
-        self.over = over
-        self.void = void
+        self.has_ended = has_ended
+        self.never_ran = never_ran  # it certainly had no effect
 
 
 class Packet:
-    """A packet that this relay took."""
+    """A packet that this relay has accepted."""
 
     __slots__ = (
-        "aim_at",
-        "alone",
-        "bound",
+        "target_at",
+        "travels_alone",
+        "bound_zone",
         "curve",
         "destination",
         "end_reason",
         "ended",
-        "gain",
-        "hard_stop",
+        "value",
+        "deadline",
         "held",
         "id",
         "key",
-        "last",
-        "lingers",
-        "nth",
-        "out",
+        "on_last_trip",
+        "last_trip_abandoned",
+        "sequence_number",
+        "in_flight",
         "profile",
         "restored",
         "trips",
@@ -264,61 +284,68 @@
     )
 
     def __init__(
-        self, ident: int, nth: int, profile: Profile, curve: Curve, destination: Destination, hard_stop: int
+        self,
+        ident: int,
+        sequence_number: int,
+        profile: Profile,
+        curve: Curve,
+        destination: Destination,
+        deadline: int,
     ) -> None:
         self.id = ident
-        self.nth = nth  # in the order taken
+        self.sequence_number = sequence_number  # in the order accepted
         self.profile = profile
         self.curve = curve
         self.destination = destination
-        self.hard_stop = hard_stop
-        self.aim_at = hard_stop - profile.give_up + profile.quoted  # by when it is wanted
-        self.gain = 0.0
-        self.restored = False  # an earlier life took it on
-        self.key: Key | None = None
+        self.deadline = deadline
+        self.target_at = deadline - profile.give_up + profile.quoted  # the deadline for its full value
+        self.value = 0.0
+        self.restored = False  # accepted before the restart
+        self.key: OrderingKey | None = None
         self.trips: list[Trip] = []
-        self.out = 0
-        self.held = False
-        self.weight = 0.0  # among those that may go, 0 while it is none of them
-        self.alone = False
-        self.bound: int | None = None  # to the zone in which its repeat is known
-        self.last = False  # no more than one trip is left to it
-        self.lingers = False  # its last trip may run on, and no two may run at once
+        self.in_flight = 0  # trips
+        self.held = False  # waits to be sent
+        self.weight = 0.0  # in its destination's order; 0 while it is not in it
+        self.travels_alone = False  # never in a batch
+        self.bound_zone: int | None = None  # the zone that would detect a repeat
+        self.on_last_trip = False  # one trip remains at most
+        self.last_trip_abandoned = False  # that trip may still run, and no two may run at once
         self.ended = False
         self.end_reason: EndReason | None = None  # where it ended undelivered
 
 
-Due = Packet | Call | Host | Key | Destination | None  # what an agenda holds; None asks for the list
+TimerSubject = Packet | Call | Host | OrderingKey | Destination | None  # None: ask for the host list again
 
 
 class DepartedHosts:
-    """Hosts that the list names no more, until they are forgotten; the one that left first is found first.
+    """Hosts that were removed from the list, by the start of their drain, until they are forgotten.
 
-    Growth: `add` and `discard` take log n steps at most; `take_idle` looks at those that left before the
-    given time alone, of which those with calls out stay (no more than there are slots).
+    Complexity: `add` and `discard` take at most O(log n) steps; `take_idle` looks only at hosts that left
+    before the given time, of which those with calls in flight stay (no more than there are slots).
     """
 
     __slots__ = ("_heap", "_numbers", "_next_number")
 
     def __init__(self) -> None:
-        self._heap: list[tuple[int, int, Host]] = []  # also entries of hosts discarded or added again since
-        self._numbers: dict[Host, int] = {}  # of the entry that holds for each host
+        # Holds outdated entries too, of hosts that were discarded or added again.
+        self._heap: list[tuple[int, int, Host]] = []
+        self._numbers: dict[Host, int] = {}  # of each host's current entry
         self._next_number = count().__next__
 
     def __len__(self) -> int:
         return len(self._numbers)
 
     def add(self, host: Host) -> None:
-        """It left the list; `host.left_at` says since when nothing new is for it."""
+        """Add a host that left the list; nothing new is sent to it since `host.drain_started_at`."""
         number = self._numbers[host] = self._next_number()
-        heappush(self._heap, (host.left_at, number, host))
+        heappush(self._heap, (host.drain_started_at, number, host))
 
     def discard(self, host: Host) -> None:
-        """It is in the list again."""
+        """Remove a host that is in the list again."""
         self._numbers.pop(host, None)
 
     def take_idle(self, before: int) -> list[Host]:
-        """Those that left before that time and have no call out; they are kept here no longer."""
+        """Remove and returns the hosts that left before that time and have no call in flight."""
         idle = []
         busy = []
         while self._heap and self._heap[0][0] < before:
@@ -326,16 +353,16 @@
             if self._numbers.get(host) != number:
                 continue
             del self._numbers[host]
-            (busy if host.out else idle).append(host)
+            (busy if host.in_flight else idle).append(host)
         for host in busy:
             self.add(host)
         return idle
 
 
 class SlidingMaximum:
-    """The greatest of the values added within a window of time (a monotonic queue).
+    """The maximum of the values added within a sliding window of time (a monotonic queue).
 
-    Growth: constant, amortized, in the number of values within the window.
+    Complexity: O(1) amortized, whatever the number of values within the window.
     """
 
     __slots__ = ("_queue",)
@@ -347,61 +374,62 @@
         return len(self._queue)
 
     def add(self, at: int, value: int) -> None:
-        """A value at that time, which is no earlier than any before."""
+        """Add a value; its time must not be before that of an earlier one."""
         while self._queue and self._queue[-1][1] <= value:
             self._queue.pop()
         self._queue.append((at, value))
 
-    def greatest(self, after: int) -> int:
-        """The greatest value from after that time, 0 where there is none; what is older is dropped."""
+    def maximum_since(self, after: int) -> int:
+        """Return the maximum of the values after that time, 0 if there are none; drops older ones."""
         while self._queue and self._queue[0][0] <= after:
             self._queue.popleft()
         return self._queue[0][1] if self._queue else 0
 
 
-class IdleLosses:
-    """Hosts that lost calls on idle links of late, and for how long the link had been idle.
+class IdleConnectionLosses:
+    """Hosts that lost calls on idle connections of late, each with the idle time of that connection.
 
-    Growth: each step takes log n steps, amortized, in the number of these hosts.
+    Complexity: O(log n) amortized for each method, in the number of these hosts.
     """
 
     __slots__ = ("_idle_times", "_latest")
 
     def __init__(self) -> None:
-        self._latest: OrderedDict[Host, tuple[int, int]] = OrderedDict()  # when and how long, earliest first
+        self._latest: OrderedDict[Host, tuple[int, int]] = OrderedDict()  # time and idle time, earliest first
         self._idle_times: SortedList[int] = SortedList()
 
     def add(self, host: Host, at: int, idle: int) -> None:
-        """Its latest loss, which takes the place of an earlier one."""
+        """Record a host's latest loss, which replaces an earlier one."""
         if host in self._latest:
             self._idle_times.remove(self._latest.pop(host)[1])
         self._latest[host] = at, idle
         self._idle_times.add(idle)
 
     def count_above(self, idle: int, after: int) -> int:
-        """How many lost a call after that time on links idle for longer; what is older is dropped."""
+        """Count hosts with a loss after that time on a connection idle for longer; drops older ones."""
         while self._latest and next(iter(self._latest.values()))[0] <= after:
             _, (_, old) = self._latest.popitem(last=False)
             self._idle_times.remove(old)
         return len(self._idle_times) - self._idle_times.bisect_right(idle)
 
 
-class Books:
-    """All that a relay keeps, empty as yet."""
+class RelayState:
+    """The state of a relay, initially empty."""
 
     def __init__(self) -> None:
         self._hosts: dict[bytes, Host] = {}
-        self._cordoned: dict[bytes, int] = {}  # hosts out by hand, since when
+        self._cordoned: dict[bytes, int] = {}  # cordoned hosts, and since when
         self._packets: dict[int, Packet] = {}
-        self._keys: dict[int, Key] = {}
-        self._open = 0  # packets without their end
-        self._out = 0  # calls
-        self._overdue: dict[Call, None] = {}
-        self._agenda: list[tuple[int, int, Due]] = []  # by time, then as entered
-        self._stirred: dict[Destination, None] = {}  # something there has changed
-        self._loads: list[tuple[float, int, Load]] = []  # and outdated ones
-        self._ready: OrderedDict[Destination, None] = OrderedDict()  # the one weighed longest ago first
-        self._tight_kinds: set[int] = set()  # of hosts whose connection tables were full
-        self._idle_answered = SlidingMaximum()  # on links idle for how long
-        self._idle_losses = IdleLosses()
-        self._departed = DepartedHosts()
+        self._keys: dict[int, OrderingKey] = {}
+        self._open_packets = 0  # packets without a final outcome
+        self._in_flight = 0  # calls
+        self._overdue_calls: dict[Call, None] = {}
+        self._timers: list[tuple[int, int, TimerSubject]] = []  # a heap by time, then by order of entry
+        self._dirty: dict[Destination, None] = {}  # changed since they were evaluated
+        self._candidates: list[tuple[float, int, CandidateCall]] = []  # a heap, with outdated ones
+        # Destinations with a candidate call, the least recently evaluated one first.
+        self._ready_destinations: OrderedDict[Destination, None] = OrderedDict()
+        self._full_table_kinds: set[int] = set()  # of hosts whose connection tables were full
+        self._answered_idle_times = SlidingMaximum()  # of connections on which calls were answered
+        self._idle_connection_losses = IdleConnectionLosses()
+        self._departed_hosts = DepartedHosts()
--- a/millweir/settings.py
+++ b/millweir/settings.py
@@ -20,7 +20,7 @@
     profiles = tuple(
         Profile(
             name=grade.get("name", ""),
-            gain=grade.get("credit", 1.0),
+            value=grade.get("credit", 1.0),
             quoted=grade["objective-us"] * 1000,
             give_up=grade["give-up-us"] * 1000,
             late_share=grade.get("late-share", 0.0),
@@ -76,7 +76,7 @@
     """What stands in for a profile that the settings list no more: as little of it is held safe as can be."""
     return Profile(
         name="",
-        gain=min(p.gain for p in settings.profiles),
+        value=min(p.value for p in settings.profiles),
         quoted=max(p.quoted for p in settings.profiles),
         give_up=max(p.give_up for p in settings.profiles),
         late_share=0.0,
--- a/millweir/slow_start.py
+++ b/millweir/slow_start.py
@@ -41,13 +41,13 @@
 
 def cold_host(host: Host) -> ColdHost:
     """What is to be known of it once its record is gone."""
-    refused = host.refused_at > max(host.well_at, host.failed_at)
+    refused = host.last_refusal_at > max(host.last_success_at, host.last_failure_at)
     return ColdHost(
         host=host.id,
-        seen_at=max(host.failed_at, host.refused_at),
-        pace=host.pace,
+        seen_at=max(host.last_failure_at, host.last_refusal_at),
+        slow_start_rate=host.slow_start_rate,
         recovered_at=host.recovered_at,
-        limit=host.route.limit if refused else 0.0,
+        limit=host.limit_scope.limit if refused else 0.0,
     )
 
 
@@ -71,7 +71,7 @@
         self.cold_share = min(1.0, given.fall_multiple * given.cold_from) or 1.0  # no such rule: all of it
         self._warming = (1 - given.cold_from) / (given.cold_from or 1.0) / max(1, given.cold_time)
         self.transitions: deque[HostTransition] = deque(maxlen=TRANSITIONS_KEPT)  # newest last
-        self.changes = 0  # of what `cold_hosts` tells
+        self.changes = 0  # of what `list_recovering_hosts` tells
         self.replaced = False  # a process beside this one has the part of the budget
         self._forgotten: OrderedDict[bytes, ColdHost] = OrderedDict()
 
@@ -79,14 +79,14 @@
         """A call leaves."""
         host.last_call_at, host.confirm_by = now, 0
         if self.on_trial(host):
-            host.route.last_trial_at = now
+            host.limit_scope.last_trial_at = now
 
     def succeeded(self, host: Host, call: Call, now: int) -> None:
         """A call went well."""
         self.changes += self._last_went_wrong(host)
-        host.well_at, host.refused_in_row = now, 0
+        host.last_success_at, host.consecutive_refusals = now, 0
         host.failure_score = max(0.0, host.failure_score + FULFILLED_WEIGHT)
-        if not host.pace:
+        if not host.slow_start_rate:
             return
         if host.suspected_at and self._stood_alone(host, call, now):
             self._recover(host, "the failure stood alone")
@@ -108,13 +108,13 @@
     ) -> None:
         """A call failed; no `call` for what is known without one, such as by hand."""
         if evidence is not Evidence.OWN_CAUSE:
-            host.failed_at = now
+            host.last_failure_at = now
             self.changes += 1
         if evidence is Evidence.UNCLEAR and self._sibling_fails(host):
             evidence = Evidence.OUTAGE
         host.failure_score = min(EJECT_AT, host.failure_score + weight)
         sent_at = call.sent_at if call else now
-        if host.failure_score >= EJECT_AT or host.pace and not host.suspected_at:
+        if host.failure_score >= EJECT_AT or host.slow_start_rate and not host.suspected_at:
             self._eject(host, cause, now, sent_at if evidence is Evidence.OUTAGE else NEVER)
         elif weight < FAILED_WEIGHT or evidence is not Evidence.OUTAGE:
             return
@@ -132,12 +132,12 @@
         Guards rule 4 where that limit is above the part: what a told wait holds back goes at random behind
         its end, as all that were refused may have been told the same one.
         """
-        host.refused_at = now
-        host.refused_in_row += 1
+        host.last_refusal_at = now
+        host.consecutive_refusals += 1
         self.changes += 1
-        if host.route.wait_until > now:
+        if host.limit_scope.retry_after_until > now:
             self._spread_behind_wait(host, now)
-        if host.refused_in_row >= REFUSED_RUN and now - host.well_at > self._fall_time:
+        if host.consecutive_refusals >= REFUSED_RUN and now - host.last_success_at > self._fall_time:
             self.failed(host, FAILED_WEIGHT, "refused again and again", now, call)
 
     def siblings_failed(
@@ -160,18 +160,21 @@
         Guards rule 4: who was told of an outage is so in its next life too, and all relays may have been
         restarted at once.
         """
-        if host.pace or host.well_at > cold.seen_at:
+        if host.slow_start_rate or host.last_success_at > cold.seen_at:
             return
         if cold.recovered_at and now - cold.recovered_at >= self._cold_time:
             return
-        if cold.limit and not cold.pace:
-            host.route.limit, host.route.raised_at = min(host.route.limit, cold.limit), NEVER
-            host.refused_at = cold.seen_at
+        if cold.limit and not cold.slow_start_rate:
+            host.limit_scope.limit, host.limit_scope.increased_at = (
+                min(host.limit_scope.limit, cold.limit),
+                NEVER,
+            )
+            host.last_refusal_at = cold.seen_at
             self.changes += 1
             self._spread_behind_wait(host, now)
             return
-        host.failed_at = cold.seen_at
-        self._hold(host, now, cold.pace)
+        host.last_failure_at = cold.seen_at
+        self._hold(host, now, cold.slow_start_rate)
         host.recovered_at = cold.recovered_at
         self._spread_trials(host, now)
         self._enter(host, HostState.SLOW_START if cold.recovered_at else HostState.EJECTED, "known before")
@@ -180,12 +183,12 @@
 
     def cold_hosts(self, hosts: Iterable[Host]) -> list[ColdHost]:
         """Of these hosts and those that were forgotten what has to outlast the process."""
-        known = [cold_host(host) for host in hosts if host.pace or self._last_went_wrong(host)]
+        known = [cold_host(host) for host in hosts if host.slow_start_rate or self._last_went_wrong(host)]
         return known + list(self._forgotten.values())
 
     def forget(self, host: Host) -> None:
         """It left the list long ago and its record goes; it may be listed again as its outage ends."""
-        if host.pace or self._last_went_wrong(host):
+        if host.slow_start_rate or self._last_went_wrong(host):
             self._forgotten[host.id] = cold_host(host)
             if len(self._forgotten) > FORGOTTEN_KEPT:
                 self._forgotten.popitem(last=False)
@@ -197,7 +200,7 @@
 
     def usable_again(self, host: Host, now: int) -> None:
         """A host that could get no calls for a while can now, and all relays have waited for this moment."""
-        if not host.pace and any(map(self._last_went_wrong, self._siblings(host) or [host])):
+        if not host.slow_start_rate and any(map(self._last_went_wrong, self._siblings(host) or [host])):
             self._hold(host, now)
             self._enter(host, HostState.EJECTED, "failed before it left")
         if self.on_trial(host):
@@ -205,27 +208,27 @@
 
     def opens_at(self, host: Host, now: int) -> int:
         """When the host may be sent its next call; 0 where nothing holds it back."""
-        if not host.pace or now <= host.confirm_by:
+        if not host.slow_start_rate or now <= host.confirm_by:
             return 0
         warm = now - host.recovered_at if host.recovered_at else 0
         if warm >= self._cold_time:
             return 0
         growth = min(2 ** (warm / self._fall_time), 1 + self._warming * (warm + self._fall_time // 4))
-        own = host.last_call_at + int(SECOND / (host.pace * growth))
+        own = host.last_call_at + int(SECOND / (host.slow_start_rate * growth))
         return own if host.recovered_at else max(own, self._siblings_open_at(host))
 
     def _siblings_open_at(self, host: Host) -> int:
         """Trials of one destination are spaced evenly over its hosts, lest they fall together."""
         siblings = max(1, len(self._siblings(host)))
-        return host.route.last_trial_at + int(SECOND / (host.pace * siblings))
+        return host.limit_scope.last_trial_at + int(SECOND / (host.slow_start_rate * siblings))
 
     def on_trial(self, host: Host) -> bool:
         """Suspected or ejected, with no call gone well since."""
-        return bool(host.pace) and not host.recovered_at
+        return bool(host.slow_start_rate) and not host.recovered_at
 
     def state(self, host: Host) -> HostState:
         """How it is treated."""
-        if not host.pace:
+        if not host.slow_start_rate:
             return HostState.HEALTHY
         if host.recovered_at:
             return HostState.SLOW_START
@@ -233,9 +236,9 @@
 
     def holds_back(self, host: Host) -> bool:
         """The one call that may be out there is out; one that is overdue counts no more."""
-        if self.replaced and host.pace:
+        if self.replaced and host.slow_start_rate:
             return True
-        return (self.on_trial(host) or not host.well_at) and host.out > host.overdue
+        return (self.on_trial(host) or not host.last_success_at) and host.in_flight > host.overdue
 
     def rank(self, host: Host, bears_trials: bool) -> int:
         """Which of several hosts with room goes first: the lowest.
@@ -245,25 +248,29 @@
         """
         if self.on_trial(host):
             return 0 if bears_trials else 2
-        return 2 if host.pace else 1
+        return 2 if host.slow_start_rate else 1
 
     def may_open_sooner(self, host: Host, now: int) -> int:
         """When to look again at a host held back: its pace grows meanwhile."""
-        return now + self._fall_time // 32 if host.pace else 1 << 62
+        return now + self._fall_time // 32 if host.slow_start_rate else 1 << 62
 
     @staticmethod
     def _last_went_wrong(host: Host) -> bool:
         """Its last call failed or was refused."""
-        return max(host.failed_at, host.refused_at) > host.well_at
+        return max(host.last_failure_at, host.last_refusal_at) > host.last_success_at
 
     @staticmethod
     def _siblings(host: Host) -> list[Host]:
         """All listed hosts that share its limit, itself among them."""
-        return [other for other in host.destination.hosts if other.route is host.route]
+        return [other for other in host.destination.hosts if other.limit_scope is host.limit_scope]
 
     def _sibling_fails(self, host: Host) -> bool:
         """The last call to another host that shares its limit failed: two lost links are an outage."""
-        return any(other.failed_at > other.well_at for other in self._siblings(host) if other is not host)
+        return any(
+            other.last_failure_at > other.last_success_at
+            for other in self._siblings(host)
+            if other is not host
+        )
 
     def _may_stand_alone(self, host: Host, weight: float, now: int) -> bool:
         """A first failure of which one more call may tell at once whether it stood alone.
@@ -271,21 +278,23 @@
         Not at a host where none went well in this life if that life has just begun, as a whole fleet may have
         been restarted, or if nobody answered at all; nor where a sibling is on trial already.
         """
-        if host.route.wait_until > now + self._confirm_time:
+        if host.limit_scope.retry_after_until > now + self._confirm_time:
             return False  # all that were told that wait would follow at its end
         young = now - self._born < self._cold_time
         answered = weight <= FAILED_WEIGHT  # more stands for silence, or nobody there
-        return (host.well_at or answered and not young) and not any(map(self.on_trial, self._siblings(host)))
+        return (host.last_success_at or answered and not young) and not any(
+            map(self.on_trial, self._siblings(host))
+        )
 
     def _stood_alone(self, host: Host, call: Call, now: int) -> bool:
         """The host answered as soon after its first failure as an outage would hardly end."""
         soon = host.suspected_at + self._confirm_time
         if now <= soon:
             return now - call.sent_at <= self._fall_time  # else it has hung for so long
-        return host.suspected_at <= call.sent_at <= soon and not call.late
+        return host.suspected_at <= call.sent_at <= soon and not call.is_overdue
 
     def _recover(self, host: Host, cause: str) -> None:
-        host.pace = 0.0
+        host.slow_start_rate = 0.0
         if not host.suspected_at:
             host.failure_score = 0.0
         host.suspected_at = host.confirm_by = host.recovered_at = 0
@@ -294,39 +303,45 @@
     def _suspect(self, host: Host, cause: str, now: int) -> None:
         self._hold(host, now)
         host.suspected_at = now
-        host.confirm_by = max(now, host.clear_at) + self._confirm_time
+        host.confirm_by = max(now, host.table_full_until) + self._confirm_time
         self._enter(host, HostState.SUSPECTED, cause)
 
     def _eject(self, host: Host, cause: str, now: int, began: int) -> None:
         """`began`: since when it is known to fail; siblings that answered after that are well."""
         ejected = self.on_trial(host) and not host.suspected_at
         for sibling in self._siblings(host) if began < NEVER else ():  # an outage mostly takes all of them
-            if sibling is not host and not sibling.pace and sibling.used_at < began:
+            if sibling is not host and not sibling.slow_start_rate and sibling.last_answer_at < began:
                 self._suspect(sibling, "sibling ejected", now)
         self._hold(host, now)
         host.suspected_at = host.confirm_by = 0
         if not ejected:
             self._enter(host, HostState.EJECTED, cause)
 
-    def _hold(self, host: Host, now: int, pace: float = 0.0) -> None:
+    def _hold(self, host: Host, now: int, slow_start_rate: float = 0.0) -> None:
         """From now on spaced trials; the first one at random, as all relays may have seen it fail at once.
 
-        `pace`: the relay's part of the budget, where it is known already.
+        `slow_start_rate`: the relay's part of the budget, where it is known already.
         """
-        host.pace = pace or self._part_of_budget(host, now)
-        host.route.last_ejected = host
+        host.slow_start_rate = slow_start_rate or self._part_of_budget(host, now)
+        host.limit_scope.last_ejected = host
         host.ejected_at, host.recovered_at = now, 0
         spread = self._chance() / 2
-        host.last_call_at = max(now, host.route.wait_until) - int(spread * SECOND / host.pace)
+        host.last_call_at = max(now, host.limit_scope.retry_after_until) - int(
+            spread * SECOND / host.slow_start_rate
+        )
 
     def _spread_trials(self, host: Host, now: int) -> None:
         """All relays may begin anew with its spacing in this moment: each at another point of it."""
-        host.last_call_at = max(now, host.route.wait_until) - int(self._chance() * SECOND / host.pace)
+        host.last_call_at = max(now, host.limit_scope.retry_after_until) - int(
+            self._chance() * SECOND / host.slow_start_rate
+        )
 
     def _spread_behind_wait(self, host: Host, now: int) -> None:
         """The next call goes at a random point of what the limit leaves between two."""
-        route = host.route
-        route.resume_at = max(now, route.wait_until) + int(self._chance() * SECOND / route.limit)
+        limit_scope = host.limit_scope
+        limit_scope.resume_at = max(now, limit_scope.retry_after_until) + int(
+            self._chance() * SECOND / limit_scope.limit
+        )
 
     def _part_of_budget(self, host: Host, now: int) -> float:
         """Calls a second while cold: the cold share of own use.
@@ -335,13 +350,17 @@
         is one call.  So the parts of all relays add up to no more than that rate or all that is asked for,
         also where few messages have come yet, or more relays are alive than the settings name.
         """
-        share = host.route.share
+        share = host.limit_scope.fair_share
         weight = max(SECOND / share, YOUNG)
-        seen = host.destination.taken * SECOND + share * weight
+        seen = host.destination.accepted_count * SECOND + share * weight
         used = seen / (now - self._born + weight)
-        passes = max(share, host.route.limit)  # of what is asked for, where that is more than the rate
-        return self.cold_share * min(used, passes, host.route.listed) / max(1, len(host.destination.hosts))
+        passes = max(share, host.limit_scope.limit)  # of what is asked for, where that is more than the rate
+        return (
+            self.cold_share
+            * min(used, passes, host.limit_scope.listed_rate)
+            / max(1, len(host.destination.hosts))
+        )
 
     def _enter(self, host: Host, state: HostState, cause: str) -> None:
         self.changes += 1
-        self.transitions.append(HostTransition(host.id, state, cause, host.pace))
+        self.transitions.append(HostTransition(host.id, state, cause, host.slow_start_rate))
--- a/tests/broken.py
+++ b/tests/broken.py
@@ -1,4 +1,4 @@
-"""A module's core with one line changed, for tests that a guard taken out is found."""
+"""Mutation of a module's `Core`, for tests that check that a missing guard is noticed."""
 
 from __future__ import annotations
 
@@ -7,10 +7,13 @@
 
 
 def broken_core(real: ModuleType, name: str, old: str, new: str, shared: tuple[str, ...]) -> type:
-    """The class `Core` of the changed text; `shared` names what it must have in common with the real one."""
+    """Return the class `Core` of the module with `old` replaced by `new`.
+
+    `shared`: names that the mutant takes from the real module, so that both use the same objects.
+    """
     source = Path(real.__file__).read_text()
-    assert source.count(old) == 1, f"{name}: stands {source.count(old)} times in {real.__name__}"
-    space = {"__name__": real.__name__}
-    exec(compile(source.replace(old, new), name, "exec", dont_inherit=True), space)
-    space |= {one: getattr(real, one) for one in shared}
-    return space["Core"]
+    assert source.count(old) == 1, f"{name}: found {source.count(old)} times in {real.__name__}"
+    namespace = {"__name__": real.__name__}
+    exec(compile(source.replace(old, new), name, "exec", dont_inherit=True), namespace)
+    namespace |= {one: getattr(real, one) for one in shared}
+    return namespace["Core"]
--- a/tests/net/test_calls.py
+++ b/tests/net/test_calls.py
@@ -4,7 +4,7 @@
 import time
 
 import pytest
-from rig import CONFIG, Platform, Rig, cut, reply, until, well
+from rig import CONFIG, Platform, Rig, cut, reply, succeed_after, until
 
 from millweir.interface import MILLISECOND, SECOND
 from millweir.net import clock
@@ -45,7 +45,7 @@
         relay.desk._facade.wait_told(clock.steady(), b"h0", clock.steady() + 400 * MILLISECOND)
         gate.open.set()
         await relay.until(lambda: platform.sent("late"))
-        assert platform.sent("late")[0].at >= over and len(platform.calls) == 1 and not platform.notices
+        assert platform.sent("late")[0].at >= over and len(platform.calls) == 1 and not platform.notifications
 
     play(platform, tmp_path, monkeypatch, steps)
 
@@ -56,12 +56,12 @@
     async def steps(relay):
         gate = await dialled(relay, "late")
         platform.add("h0", status="DRAINING")
-        await relay.until(lambda: relay.desk._facade._relay._hosts[b"h0"].left_at)
+        await relay.until(lambda: relay.desk._facade._relay._hosts[b"h0"].drain_started_at)
         jump(monkeypatch, SECOND)  # the drain's grace is over
         gate.open.set()
         platform.add("h1")
         await relay.until(lambda: platform.sent("late"))
-        assert [call.head["host"] for call in platform.calls] == ["h1"] and not platform.notices
+        assert [call.head["host"] for call in platform.calls] == ["h1"] and not platform.notifications
 
     play(platform, tmp_path, monkeypatch, steps)
 
@@ -72,11 +72,11 @@
     async def steps(relay):
         relay.desk._hosts._connect_timeout = 5.0  # seconds: the hard stop comes first, also on a slow machine
         gate = await dialled(relay, "late", left="150m")
-        await relay.until(lambda: platform.noticed("late"))
+        await relay.until(lambda: platform.notification_results("late"))
         gate.open.set()
         await handed_in(relay, "next")
         await relay.until(lambda: platform.sent("next"))
-        assert not platform.sent("late") and platform.noticed("late") == ["dead"]
+        assert not platform.sent("late") and platform.notification_results("late") == ["dead"]
 
     play(platform, tmp_path, monkeypatch, steps)
 
@@ -98,8 +98,8 @@
         jump(monkeypatch, 7 * SECOND)  # known for 6 s
         platform.decide = lambda call: reply(200)
         gate.open.set()
-        await relay.until(lambda: platform.noticed("marked"))
-        assert platform.noticed("marked") == ["dead"] and len(platform.calls) == 1
+        await relay.until(lambda: platform.notification_results("marked"))
+        assert platform.notification_results("marked") == ["dead"] and len(platform.calls) == 1
 
     play(platform, tmp_path, monkeypatch, steps)
 
@@ -127,7 +127,7 @@
         relay.desk._facade.wait_told(clock.steady(), b"h0", clock.steady() + SECOND // 2)
         await relay.until(lambda: not relay.desk._journal.owed)
         assert sorted(row["id"] for call in platform.calls for row in call.rows) == idents
-        assert all(call.at >= over for call in platform.calls) and not platform.notices
+        assert all(call.at >= over for call in platform.calls) and not platform.notifications
 
     play(platform, tmp_path, monkeypatch, steps, hold=QUICK)
 
@@ -139,11 +139,11 @@
         await handed_in(relay, "held")
         await held_back(relay)
         platform.add("h0", status="DRAINING")
-        await relay.until(lambda: relay.desk._facade._relay._hosts[b"h0"].left_at)
+        await relay.until(lambda: relay.desk._facade._relay._hosts[b"h0"].drain_started_at)
         jump(monkeypatch, SECOND)  # the drain's grace is over
         platform.add("h1")
         await relay.until(lambda: platform.sent("held"))
-        assert [call.head["host"] for call in platform.calls] == ["h1"] and not platform.notices
+        assert [call.head["host"] for call in platform.calls] == ["h1"] and not platform.notifications
 
     play(platform, tmp_path, monkeypatch, steps, hold=QUICK)
 
@@ -158,8 +158,8 @@
         platform.decide = lambda call: reply(200)
         await held_back(relay)
         jump(monkeypatch, 7 * SECOND)  # known for 6 s
-        await relay.until(lambda: platform.noticed("marked"))
-        assert platform.noticed("marked") == ["dead"] and len(platform.calls) == 1
+        await relay.until(lambda: platform.notification_results("marked"))
+        assert platform.notification_results("marked") == ["dead"] and len(platform.calls) == 1
 
     play(platform, tmp_path, monkeypatch, steps, hold=QUICK)
 
@@ -175,7 +175,9 @@
     async def steps(relay):
         await handed_in(relay, "a", profile=profile, **{"Idempotency-Key": "k"})
         await relay.until(lambda: not relay.desk._journal.owed)
-        assert len(platform.sent("a")) == trips and platform.noticed("a") == ["dead"] * (trips == 1)
+        assert len(platform.sent("a")) == trips and platform.notification_results("a") == ["dead"] * (
+            trips == 1
+        )
         assert {call.head["idempotency-key"] for call in platform.calls} == {"k"}
 
     play(platform, tmp_path, monkeypatch, steps)
@@ -222,12 +224,12 @@
     async def steps(relay):
         await handed_in(relay, "early")
         await held_back(relay)
-        host = platform.open["h0"][1][-1]
+        host = platform.endpoints["h0"][1][-1]
         host.sendall(said)  # late bytes of an earlier call, or of none
         if ends:
             cut(host)
         await relay.until(lambda: not relay.desk._journal.owed)
-        assert len(platform.sent("early")) == 1 and not platform.notices
+        assert len(platform.sent("early")) == 1 and not platform.notifications
 
     play(platform, tmp_path, monkeypatch, steps, hold=QUICK)
 
@@ -246,10 +248,12 @@
         assert len(call.waiting) == 2
         jump(monkeypatch, 3 * SECOND)
         relay.desk.wake()
-        await relay.until(lambda: platform.noticed("ends"))
+        await relay.until(lambda: platform.notification_results("ends"))
         gate.open.set()
         await relay.until(lambda: not relay.desk._journal.owed)
-        assert [call.id for call in platform.calls] == ["stays"] and not platform.noticed("stays")
+        assert [call.id for call in platform.calls] == ["stays"] and not platform.notification_results(
+            "stays"
+        )
 
     # Where calls may be cancelled, one that has outlasted a packet is given up whole before that.
     ceilings = CONFIG["ceilings"] | {"cancel": False}
@@ -264,10 +268,10 @@
         await relay.until(lambda: relay.desk._hosts._idle)
         (client,) = await relay.rested()
         client.send(request("next", "once"))
-        cut(platform.open["h0"][1][-1])  # both are in the sockets before the loop turns
+        cut(platform.endpoints["h0"][1][-1])  # both are in the sockets before the loop turns
         assert await client.statuses(1) == [202]
         await relay.until(lambda: not relay.desk._journal.owed)
-        assert len(platform.sent("next")) == 1 and not platform.notices
+        assert len(platform.sent("next")) == 1 and not platform.notifications
 
     play(platform, tmp_path, monkeypatch, steps)
 
@@ -278,11 +282,11 @@
     async def steps(relay):
         await handed_in(relay, "first")
         await relay.until(lambda: relay.desk._hosts._idle)
-        cut(platform.open["h0"][1][-1])
+        cut(platform.endpoints["h0"][1][-1])
         await relay.until(lambda: not relay.desk._hosts._idle)
         await handed_in(relay, "next")
         await relay.until(lambda: not relay.desk._journal.owed)
-        assert len(platform.sent("first")) == len(platform.sent("next")) == 1 and not platform.notices
+        assert len(platform.sent("first")) == len(platform.sent("next")) == 1 and not platform.notifications
 
     play(platform, tmp_path, monkeypatch, steps)
 
@@ -300,14 +304,14 @@
     journal.close()
     platform = Platform(hosts=1)
     start(platform)
-    until(lambda: platform.sent("a") or platform.noticed("a"))
+    until(lambda: platform.sent("a") or platform.notification_results("a"))
     time.sleep(0.2)
-    assert len(platform.sent("a")) == calls and platform.noticed("a") == ["dead"] * (not calls)
+    assert len(platform.sent("a")) == calls and platform.notification_results("a") == ["dead"] * (not calls)
 
 
 def test_a_trip_from_before_the_boot_is_older_than_any_repeat_is_known():
     rig = Rig(start=SECOND)  # a steady clock counts from the boot
-    rig.taken[1] = {"hard_stop": 9 * SECOND, "key": 0}
-    rig.relay.packet_taken(rig.now, 1, 1, 0, 0, 9 * SECOND, 0, ((-3600 * SECOND, False),))
-    rig.pass_time(SECOND, well()(rig))
+    rig.accepted[1] = {"hard_stop": 9 * SECOND, "key": 0}
+    rig.relay.add_packet(rig.now, 1, 1, 0, 0, 9 * SECOND, 0, ((-3600 * SECOND, False),))
+    rig.pass_time(SECOND, succeed_after()(rig))
     assert rig.answers == {1: "errored"} and not rig.sent
--- a/tests/net/test_cold_hosts.py
+++ b/tests/net/test_cold_hosts.py
@@ -22,9 +22,9 @@
 )
 from millweir.net.journal import Journal
 
-EJECTED = ColdHost(b"a", seen_at=5, pace=0.5, recovered_at=0, limit=0.0)
-IN_SLOW_START = ColdHost(b"b", seen_at=5, pace=0.5, recovered_at=7, limit=0.0)
-REFUSED = ColdHost(b"c", seen_at=6, pace=0.0, recovered_at=0, limit=1.5)
+EJECTED = ColdHost(b"a", seen_at=5, slow_start_rate=0.5, recovered_at=0, limit=0.0)
+IN_SLOW_START = ColdHost(b"b", seen_at=5, slow_start_rate=0.5, recovered_at=7, limit=0.0)
+REFUSED = ColdHost(b"c", seen_at=6, slow_start_rate=0.0, recovered_at=0, limit=1.5)
 
 
 class Decisions:
--- a/tests/net/test_descriptors.py
+++ b/tests/net/test_descriptors.py
@@ -170,7 +170,7 @@
     with running(platform, tmp_path) as program:
         resource.prlimit(program.process.pid, resource.RLIMIT_NOFILE, (256, 256))
         platform.silent = True
-        for link in platform.open["discovery"][1]:
+        for link in platform.endpoints["discovery"][1]:
             link.shutdown(socket.SHUT_RDWR)
         program.send_signal(signal.SIGSTOP)  # they are all there when it goes on
         crowd = idle_connections(program.port, 300)
@@ -182,7 +182,7 @@
         before = told(program)
         platform.add("h0", status="DRAINING")
         platform.silent = False
-        for link in platform.open["discovery"][1]:
+        for link in platform.endpoints["discovery"][1]:
             with contextlib.suppress(OSError):
                 link.shutdown(socket.SHUT_RDWR)
         until(lambda: told(program) > before, 6.0)
--- a/tests/net/test_ready.py
+++ b/tests/net/test_ready.py
@@ -136,7 +136,7 @@
         relay.desk.wake()
         await relay.until(lambda: not relay.desk._journal.owed)
         assert [call.id for call in platform.calls] == ["p0", "fresh"]
-        assert platform.calls[1].at - platform.calls[0].at >= 0.2 and not platform.notices
+        assert platform.calls[1].at - platform.calls[0].at >= 0.2 and not platform.notifications
 
     play(platform, tmp_path, monkeypatch, steps)
 
@@ -151,9 +151,9 @@
         assert await client.statuses(3) == [202, 503, 202]  # the last one is known already
         backlog.set()
         relay.desk.wake()
-        await relay.until(lambda: platform.notices)
+        await relay.until(lambda: platform.notifications)
         # A table that the last one fills lets the one worth least go, which was never tried: it may return.
-        assert [notice["result"] for notice in platform.notices] == ["bounced"]
+        assert [notice["result"] for notice in platform.notifications] == ["bounced"]
         assert len(relay.desk._facade._relay._packets) == most - 1
 
     platform = Platform(hosts=1)
--- a/tests/net/test_repeat_window.py
+++ b/tests/net/test_repeat_window.py
@@ -228,8 +228,8 @@
 
     async def steps(relay):
         await handed_in(relay, "p", profile="marked")
-        await relay.until(lambda: platform.noticed("p"))
-        assert platform.noticed("p") == ["dead"] and len(platform.calls) == 1
+        await relay.until(lambda: platform.notification_results("p"))
+        assert platform.notification_results("p") == ["dead"] and len(platform.calls) == 1
 
     play(platform, tmp_path, monkeypatch, steps)
 
@@ -274,7 +274,7 @@
     platform = Platform(hosts=1)
 
     async def steps(relay):
-        await relay.until(lambda: platform.noticed("p") or platform.sent("p"))
-        assert platform.noticed("p") == ["dead"] and not platform.sent("p")
+        await relay.until(lambda: platform.notification_results("p") or platform.sent("p"))
+        assert platform.notification_results("p") == ["dead"] and not platform.sent("p")
 
     play(platform, tmp_path, monkeypatch, steps, {"settings": CONFIG | {"grades": grades}})
--- a/tests/net/test_restored.py
+++ b/tests/net/test_restored.py
@@ -112,7 +112,7 @@
     owed(tmp_path / STATE, (b"a", b"again", 0))
     program = start(platform, known=known)
     assert program.hand_in("b", left="900m") == 202
-    until(lambda: platform.noticed("b"))
+    until(lambda: platform.notification_results("b"))
     assert not platform.calls  # nor within the grace of a drain told just now
 
 
@@ -147,7 +147,7 @@
     platform = Gated(hosts=2)
     start(platform)
     until(lambda: len({call.id for call in platform.calls}) == most)
-    assert not platform.notices
+    assert not platform.notifications
 
 
 @pytest.mark.parametrize("profile", ["again", "once"])
@@ -162,7 +162,7 @@
     statuses = [relay.hand_in(f"new{n}", "again") for n in range(3 * most)]
     until(lambda: {ident.decode() for ident in restored} <= {call.id for call in platform.calls})
     assert statuses.count(202) > most  # far more than the table holds
-    assert not [ident for ident in restored if platform.noticed(ident.decode())]
+    assert not [ident for ident in restored if platform.notification_results(ident.decode())]
 
 
 @pytest.mark.parametrize("trips, calls, ends", [(0, 1, []), (1, 0, ["dead"])])
@@ -173,8 +173,10 @@
     platform = Gated(hosts=1)
     platform.decide = lambda call: reply(500)  # it may have run
     start(platform)
-    until(lambda: platform.noticed("a"))
-    assert len(platform.sent("a")) == calls and platform.noticed("a") == ["dead"] == (ends or ["dead"])
+    until(lambda: platform.notification_results("a"))
+    assert len(platform.sent("a")) == calls and platform.notification_results("a") == ["dead"] == (
+        ends or ["dead"]
+    )
 
 
 @pytest.mark.parametrize("semantics, calls", [("side_effect", 0), ("pure", 1)])
@@ -185,8 +187,8 @@
     ]
     platform = Gated(hosts=1)
     start(platform, settings=CONFIG | {"grades": grades})
-    until(lambda: platform.noticed("a") or platform.sent("a"))
-    assert len(platform.sent("a")) == calls and platform.noticed("a") == ["dead"] * (not calls)
+    until(lambda: platform.notification_results("a") or platform.sent("a"))
+    assert len(platform.sent("a")) == calls and platform.notification_results("a") == ["dead"] * (not calls)
 
 
 def test_a_profile_listed_no_more_brings_back_no_settings_from_before_a_reload(tmp_path, monkeypatch):
@@ -309,11 +311,11 @@
     program = start(platform)
     platform.add("h5")
     platform.add("h0", status="DRAINING")
-    until(lambda: program.hand_in(f"x{time.monotonic_ns()}", left="400m") and len(platform.notices) > 2)
+    until(lambda: program.hand_in(f"x{time.monotonic_ns()}", left="400m") and len(platform.notifications) > 2)
     time.sleep(0.7)
     before = len(platform.calls)
     assert program.hand_in("late", left="600m") == 202
-    until(lambda: platform.noticed("late"))
+    until(lambda: platform.notification_results("late"))
     assert not [call for call in platform.calls[before:] if call.head["host"] == "h5"]
 
 
@@ -326,7 +328,7 @@
             1.0, lambda: resource.prlimit(program.process.pid, resource.RLIMIT_FSIZE, (-1, -1))
         )
         lifted.start()
-        program.start(file_most=1)
+        program.start(max_file_bytes=1)
         lifted.join()
         assert program.hand_in("later") == 202
     finally:
--- a/tests/net/test_shutdown.py
+++ b/tests/net/test_shutdown.py
@@ -180,7 +180,7 @@
     until(lambda: len(platform.calls) == 10)
     time.sleep(0.2)
     assert sorted(call.id for call in platform.calls) == [f"{kind}{n}" for kind in "ab" for n in range(5)]
-    assert not platform.notices
+    assert not platform.notifications
     started[0].end()
 
 
@@ -199,6 +199,6 @@
         relay.desk.leave()
         await asyncio.sleep(0)
         await relay.until(lambda: not relay.desk._journal.owed)
-        assert not platform.notices and len(platform.calls) == 1
+        assert not platform.notifications and len(platform.calls) == 1
 
     play(platform, tmp_path, monkeypatch, steps)
--- a/tests/net/test_stall.py
+++ b/tests/net/test_stall.py
@@ -26,11 +26,13 @@
         platform.add("h0", status="DRAINING")
         if stands_still:
             time.sleep(STALL)  # the list is in the socket by now
-        await relay.until(lambda: any(host.left_at for host in relay.desk._facade._relay._hosts.values()))
+        await relay.until(
+            lambda: any(host.drain_started_at for host in relay.desk._facade._relay._hosts.values())
+        )
         await relay.until(
             lambda: [host for host in relay.desk._facade._relay._hosts.values() if host.id == b"h0"][
                 0
-            ].left_at
+            ].drain_started_at
         )
         ident = ""
         for number in range(1, TRIES + 1):  # refused while turns were late a moment ago
--- a/tests/net/test_told_bound.py
+++ b/tests/net/test_told_bound.py
@@ -7,7 +7,7 @@
 import pytest
 from rig import Rig, settings
 
-from millweir.control import APIECE_MOST, bounds
+from millweir.control import MAX_DISCOVERY_BACK_OFF_NS, bounds
 from millweir.interface import MILLISECOND, SECOND, Limits
 from millweir.net.counters import Counters
 from millweir.net.discovery import Watch, patience_after, told_within
@@ -26,7 +26,7 @@
     """The module's rest after a call that was turned away, whenever it draws the longest."""
     relay = Rig(relays=relays).relay
     relay._random = lambda: 1.0
-    return relay.rest
+    return relay.draw_discovery_back_off
 
 
 def given(relays):
@@ -78,13 +78,18 @@
 
 def bound(relays, silent_links=0):
     answers = (1 + silent_links) * 2 * LATENCY  # a dial and an answer each
-    return told_within(given(relays), APIECE_MOST, silent_links) / SECOND + answers + 2 * LATENCY
+    return (
+        told_within(given(relays), MAX_DISCOVERY_BACK_OFF_NS, silent_links) / SECOND + answers + 2 * LATENCY
+    )
 
 
 @pytest.mark.parametrize("relays", FLEETS)
 def test_the_bound_leaves_time_for_a_dial_and_an_answer_also_after_one_more_silent_connection(relays):
-    assert told_within(given(relays), APIECE_MOST, silent_links=1) <= COUNTS_AS_TOLD - 400 * MILLISECOND
-    assert longest_rest(relays)(9) <= APIECE_MOST
+    assert (
+        told_within(given(relays), MAX_DISCOVERY_BACK_OFF_NS, silent_links=1)
+        <= COUNTS_AS_TOLD - 400 * MILLISECOND
+    )
+    assert longest_rest(relays)(9) <= MAX_DISCOVERY_BACK_OFF_NS
 
 
 @pytest.mark.parametrize("relays", FLEETS)
