--- a/benchmarks/held.py
+++ b/benchmarks/held.py
@@ -24,12 +24,12 @@
 
 def measure(held: int, destinations: int, hosts: int, slots: int, rate: float, packets: int) -> float:
     """Median microseconds a packet."""
-    from millweir.facade import Facade
+    from millweir.facade import DecisionEngine
     from millweir.interface import SECOND, Change, Effect, Entry, Limits, Outcome, Phase, Profile, Settings
 
     profiles = tuple(
         Profile(effect.value, value, 5 * SECOND // 2, 600 * SECOND, 0.4, effect, 6 * SECOND, False, False)
-        for effect, value in ((Effect.REPLAYABLE, 2.0), (Effect.SINGLE_USE, 1.0))
+        for effect, value in ((Effect.IDEMPOTENT, 2.0), (Effect.NON_IDEMPOTENT, 1.0))
     )
     settings = Settings(
         relays=1,
@@ -66,25 +66,27 @@
         second_copies=True,
     )
     now, chance = SECOND, random.Random(1)
-    facade: Facade[int] = Facade(settings, Limits(1024, 3 << 20, 64 << 20), 1, now)
+    engine: DecisionEngine[int] = DecisionEngine(settings, Limits(1024, 3 << 20, 64 << 20), 1, now)
     entries = tuple(
         Entry(b"%06d" % (at * 1000 + n), 0, 0, at, Phase.READY, rate)
         for at in range(destinations)
         for n in range(hosts // destinations)
     )
-    facade.told(now, Change.FULL, entries)
+    engine.update_hosts(now, Change.FULL, entries)
     out = []
 
     def take() -> None:
-        facade.take(now, 0, chance.randrange(2), 0, 0, now + 600 * SECOND, chance.randrange(destinations))
+        engine.add_packet(
+            now, 0, chance.randrange(2), 0, 0, now + 600 * SECOND, chance.randrange(destinations)
+        )
 
     def tick() -> None:
-        facade.tick(now)
-        while job := facade.pick():
+        engine.tick(now)
+        while job := engine.pop_job():
             out.append(job)
 
-    while facade._relay._open_packets < held + slots:
-        for _ in range(min(100, held + slots - facade._relay._open_packets)):
+    while engine._relay._open_packets < held + slots:
+        for _ in range(min(100, held + slots - engine._relay._open_packets)):
             take()
         now += 1_000_000
         tick()
@@ -97,7 +99,7 @@
             if out:
                 job = out.pop(0)
                 for part in job.parts:
-                    facade.report(now, part, Outcome.FULFILLED, True)
+                    engine.report_outcome(now, part, Outcome.FULFILLED, True)
             tick()
         took.append((time.process_time_ns() - began) / 1e4)
     return statistics.median(took)
--- a/millweir/__main__.py
+++ b/millweir/__main__.py
@@ -12,7 +12,7 @@
 
 import uvloop
 
-from millweir.facade import Facade
+from millweir.facade import DecisionEngine
 from millweir.net import clock
 from millweir.net.clients import ClientLink
 from millweir.net.config import Config, Misconfigured, config_stamp, read_config
@@ -55,7 +55,9 @@
     """
     while True:
         try:
-            return Journal(config.state, bounds.journal_file, bounds.journal_live, log.say)
+            return Journal(
+                config.state, bounds.max_journal_file_bytes, bounds.max_journal_live_bytes, log.say
+            )
         except OSError as fault:
             if fault.errno not in FOR_A_WHILE:
                 raise
@@ -66,16 +68,18 @@
 async def serve(config: Config, operator: Operator | None = None) -> None:
     """Run until told to stop."""
     loop, counters = asyncio.get_running_loop(), Counters()
-    facade: Facade[OwedMessage] = Facade(config.settings, config.limits, config.seed, clock.steady())
-    bounds = facade.bounds
-    log = Log(bounds.log_lines)
+    engine: DecisionEngine[OwedMessage] = DecisionEngine(
+        config.settings, config.limits, config.seed, clock.steady()
+    )
+    bounds = engine.bounds
+    log = Log(bounds.max_log_lines_per_second)
     loop.set_exception_handler(
         lambda _, what: log.say(f"fault {what.get('message')} {what.get('exception')!r}")
     )
     journal = await open_journal(config, bounds, log)
     if journal.torn:
         log.must(f"journal-torn dropped_bytes={journal.torn}")
-    desk = Desk(loop, config, facade, journal, log, counters)
+    desk = Desk(loop, config, engine, journal, log, counters)
 
     def leave() -> None:
         desk.leave()
@@ -109,7 +113,7 @@
     gc.enable()
     await desk.stopped
     server.close()
-    await desk.clients.finish(bounds.parting)
+    await desk.clients.finish(bounds.client_close_timeout_ns)
     desk.close()
     await asyncio.sleep(0)
     if operator:
--- a/millweir/adapter/__init__.py
+++ b/millweir/adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The bench wire on standard input and output."""
+"""Runs relays for the bench, over its byte protocol on standard input and output."""
--- a/millweir/control.py
+++ b/millweir/control.py
@@ -20,9 +20,9 @@
 from heapq import heappop, heappush
 from itertools import count, filterfalse, islice, takewhile
 
-from millweir.events import ColdHost, EndReason, HostTransition, HostView, RefusalReason
+from millweir.events import EndReason, HostTransition, HostView, RecoveringHost, RefusalReason
 from millweir.interface import SECOND, Bounds, Change, Effect, Entry, Limits, Outcome, Phase, Port, Settings
-from millweir.order import Curve, Order
+from millweir.order import PacketQueues, ValueCurve
 from millweir.records import (
     NEVER,
     Call,
@@ -36,7 +36,7 @@
     TimerSubject,
     Trip,
 )
-from millweir.slow_start import EJECT_AT, FAILED_WEIGHT, REFUSED_WEIGHT, Evidence, SlowStart
+from millweir.slow_start import EJECTION_LOG_ODDS, FAILURE_LOG_ODDS, REFUSAL_LOG_ODDS, Evidence, SlowStart
 
 # Sent calls are counted against the limit over this window; over a longer one where the limit allows less
 # than one call in it.
@@ -86,7 +86,7 @@
 def bounds(settings: Settings, limits: Limits) -> Bounds:
     """Derive the limits of the network code: connections, journal, discovery, shutdown and log."""
     half_second = SECOND // 2
-    memory_part = limits.memory // 8
+    memory_part = limits.memory_bytes // 8
     head_bytes = 16 << 10
     body_bytes = 64 << 10
     watch = min(
@@ -94,36 +94,36 @@
     )
     return Bounds(
         # An idle connection is closed before the host closes it.
-        link_life=settings.idle_close * 9 // 10,
-        linger=half_second,
-        rest=MAX_DISCOVERY_BACK_OFF_NS,
-        host_links=limits.descriptors // 4,
-        ids_known=memory_part >> 10,
-        head_most=head_bytes,
-        body_most=body_bytes,
-        client_links=min(limits.descriptors // 3, memory_part // (head_bytes + body_bytes)),
-        request=4 * half_second,
-        doubtful=half_second,
+        connection_idle_timeout_ns=settings.idle_close * 9 // 10,
+        shutdown_linger_ns=half_second,
+        max_discovery_back_off_ns=MAX_DISCOVERY_BACK_OFF_NS,
+        max_host_connections=limits.descriptors // 4,
+        max_ended_ids=memory_part >> 10,
+        max_head_bytes=head_bytes,
+        max_body_bytes=body_bytes,
+        max_client_connections=min(limits.descriptors // 3, memory_part // (head_bytes + body_bytes)),
+        request_timeout_ns=4 * half_second,
+        client_grace_ns=half_second,
         # Two files fit on the disk, as compaction writes a second one.
-        journal_file=limits.disk // 2,
-        journal_live=limits.disk * 3 // 8,
-        resend=SECOND,
-        redial=SECOND // 20,
-        watch=watch,
-        silence=watch + half_second,
-        lag_kept=half_second // 2,
-        proofs=(SECOND, SECOND, 3 * half_second),
-        opening=5 * SECOND // 4,
-        leave=33 * SECOND // 10,
-        parting=SECOND // 5,
-        log_lines=200,
-        notices=500,
-        answer_most=body_bytes,
-        answer_time=half_second,
-        hold=SECOND // 500,
-        list_most=min(16 << 20, memory_part),
-        turn_reads=64,
-        turn_calls=16,
+        max_journal_file_bytes=limits.disk_bytes // 2,
+        max_journal_live_bytes=limits.disk_bytes * 3 // 8,
+        retry_interval_ns=SECOND,
+        reconnect_delay_ns=SECOND // 20,
+        watch_wait_ns=watch,
+        watch_timeout_ns=watch + half_second,
+        lag_window_ns=half_second // 2,
+        probe_timeouts_ns=(SECOND, SECOND, 3 * half_second),
+        startup_list_wait_ns=5 * SECOND // 4,
+        shutdown_timeout_ns=33 * SECOND // 10,
+        client_close_timeout_ns=SECOND // 5,
+        max_log_lines_per_second=200,
+        max_notifications_per_request=500,
+        max_answer_bytes=body_bytes,
+        answer_timeout_ns=half_second,
+        last_byte_hold_ns=SECOND // 500,
+        max_list_bytes=min(16 << 20, memory_part),
+        max_requests_per_turn=64,
+        max_calls_per_turn=16,
     )
 
 
@@ -162,8 +162,10 @@
         self._zone = settings.zone
         self._rates_listed = settings.rates_listed
         self._max_retry_after = settings.max_wait
-        self._target_latency = min((p.quoted for p in settings.profiles), default=SECOND)
-        self._profiles = [(p, Curve(p, self._target_latency, settings.halves)) for p in settings.profiles]
+        self._target_latency = min((p.target_latency for p in settings.profiles), default=SECOND)
+        self._profiles = [
+            (p, ValueCurve(p, self._target_latency, settings.halves)) for p in settings.profiles
+        ]
         self._slow_start = SlowStart(settings, rng.random, now)
         self._watch_retry_limit = settings.must_ask_in // 4 if settings.must_ask else 0
         # Fees are given as fractions of the mean value of a packet.
@@ -178,12 +180,12 @@
         self._all_stale_at = -NEVER
         self._idle_loss_at = -NEVER
         self._table_freed_at = -NEVER
-        self._destinations: defaultdict[int, Destination] = defaultdict(lambda: Destination(Order()))
+        self._destinations: defaultdict[int, Destination] = defaultdict(lambda: Destination(PacketQueues()))
         # By kind: the learned fraction of refusals that are followed by another one.
         self._refusal_run_rate: defaultdict[int, float] = defaultdict(float)
         # Held packets that may be dismissed, as none of their trips may have run.
-        self._dismissible = Order()
-        self._dismissible_restored = Order()
+        self._dismissible = PacketQueues()
+        self._dismissible_restored = PacketQueues()
         self._full_table_idle_time = 2 * settings.idle_close // self._relay_count
         self._next_number = count().__next__
         self._alarm_at = 0
@@ -191,7 +193,7 @@
         self._failed_watches = 0
         self.refusal_reason = RefusalReason.NONE  # of the last call of check_admission
         if settings.must_ask:
-            port.watch()
+            port.request_host_list()
 
     def pop_transition(self) -> HostTransition | None:
         """Return the next change of a host's state that was not fetched yet."""
@@ -200,7 +202,9 @@
     def view_host(self, ident: bytes) -> HostView | None:
         """Return what is known of a host; None where it is neither listed nor remembered."""
         host = self._hosts.get(ident)
-        return host and HostView(self._slow_start.state(host), host.last_success_at, host.limit_scope.limit)
+        return host and HostView(
+            self._slow_start.state_of(host), host.last_success_at, host.limit_scope.limit
+        )
 
     def update_hosts(
         self, now: int, change: Change, entries: tuple[Entry, ...], earliest_received_at: int = 0
@@ -220,7 +224,7 @@
             return
         self._failed_watches *= change is Change.CACHED
         for host in self._departed_hosts.take_idle(now - FORGET_HOST_AFTER_NS):
-            self._slow_start.forget(self._hosts.pop(host.id))
+            self._slow_start.forget_host(self._hosts.pop(host.id))
         removed_ids = (
             [entry.host for entry in entries if entry.phase is Phase.GONE]
             if change is Change.DELTA
@@ -274,15 +278,15 @@
         ):
             # All others are recovering: without their state this host would be sent all held packets at once.
             host.copy_ejection(scope.last_ejected)
-            self._slow_start.usable_again(host, self._now)
-        self._slow_start.recall(host, self._now)
+            self._slow_start.resume_host(host, self._now)
+        self._slow_start.recall_host(host, self._now)
         return host
 
     def _resume_use(self, host: Host) -> None:
         """End a drain that was undone, a removal that was reversed, or a cordon that was lifted."""
         if host.drain_started_at:
             host.drain_started_at = 0
-            self._slow_start.usable_again(host, self._now)
+            self._slow_start.resume_host(host, self._now)
 
     def set_cordon(self, now: int, ident: bytes, cordoned: bool, since: int) -> bool:
         """Take a host out of use or put it back; return False for a host that no list has named.
@@ -297,7 +301,9 @@
             self._cordoned.setdefault(ident, since)
         elif self._cordoned.pop(ident, 0) and host and host.ready:
             # It returns through slow start, so that it is not overloaded.
-            self._slow_start.failed(host, EJECT_AT, "uncordoned", now, evidence=Evidence.OWN_CAUSE)
+            self._slow_start.record_failure(
+                host, EJECTION_LOG_ODDS, "uncordoned", now, evidence=Evidence.OTHER_CAUSE
+            )
             self._resume_use(host)
         if host:
             host.drain_started_at = host.drain_started_at or self._cordoned.get(ident, 0)
@@ -309,7 +315,9 @@
 
         New profiles are appended, so packets in flight keep theirs; a lower limit of trips holds at once.
         """
-        self._profiles += [(p, Curve(p, self._target_latency, settings.halves)) for p in settings.profiles]
+        self._profiles += [
+            (p, ValueCurve(p, self._target_latency, settings.halves)) for p in settings.profiles
+        ]
         self._max_trips = settings.max_trips
 
     def apply_retry_after(self, now: int, ident: bytes, until: int) -> None:
@@ -317,23 +325,23 @@
         if (host := self._hosts.get(ident)) and until > host.limit_scope.retry_after_until:
             host.limit_scope.retry_after_until = until
             self._dirty[host.destination] = None
-            self._slow_start.usable_again(host, now)
+            self._slow_start.resume_host(host, now)
 
-    def list_recovering_hosts(self) -> list[ColdHost]:
+    def list_recovering_hosts(self) -> list[RecoveringHost]:
         """List the hosts in slow start, for the next process of this relay and for the one beside it."""
-        return self._slow_start.cold_hosts(self._hosts.values())
+        return self._slow_start.list_recovering_hosts(self._hosts.values())
 
     @property
     def recovering_changes(self) -> int:
         """The number of changes so far of what `list_recovering_hosts` returns."""
         return self._slow_start.changes
 
-    def restore_host(self, now: int, recovering: ColdHost) -> bool:
+    def restore_host(self, now: int, recovering: RecoveringHost) -> bool:
         """Restore a host's slow start from an earlier process or one beside this; False: not listed."""
         if (host := self._hosts.get(recovering.host)) is None:
             return False
         self._now = now
-        self._slow_start.restore(host, recovering, now)
+        self._slow_start.restore_host(host, recovering, now)
         self._dirty[host.destination] = None
         return True
 
@@ -344,7 +352,7 @@
         """
         for host in self._destinations[destination_id].hosts:
             self.restore_host(
-                now, ColdHost(host.id, failed_at, slow_start_rate=0.0, recovered_at=0, limit=0.0)
+                now, RecoveringHost(host.id, failed_at, slow_start_rate=0.0, recovered_at=0, limit=0.0)
             )
 
     def draw_discovery_back_off(self, failures: int) -> int:
@@ -407,7 +415,8 @@
             - self._margin
         )
         deduplicated = (
-            packet.profile.effect is not Effect.REFERENCED or now < window_start + packet.profile.repeat_known
+            packet.profile.effect is not Effect.IDEMPOTENT_BY_KEY
+            or now < window_start + packet.profile.dedup_window
         )
         return (
             deduplicated
@@ -449,7 +458,7 @@
         self._packets[ident] = packet
         self._open_packets += 1
         # Only what was handed in to this process tells of its traffic.
-        destination.accepted_count += not restored and deadline - packet.profile.give_up >= self._started_at
+        destination.accepted_count += not restored and deadline - packet.profile.lifetime >= self._started_at
         self._set_timer(deadline - self._margin, packet)
         self._set_held(packet)
         if earlier and not self._may_retry(packet):
@@ -481,8 +490,8 @@
         if not (first := self._first_uncertain_trip_at(packet)):
             dismissible = self._dismissible_restored if packet.restored else self._dismissible
             (dismissible.add if held else dismissible.remove)(packet, packet.value)
-        elif held and packet.profile.effect is Effect.REFERENCED:
-            self._set_timer(first + packet.profile.repeat_known - self._margin, packet)
+        elif held and packet.profile.effect is Effect.IDEMPOTENT_BY_KEY:
+            self._set_timer(first + packet.profile.dedup_window - self._margin, packet)
         self._update_order(packet)
 
     def _update_order(self, packet: Packet) -> None:
@@ -520,7 +529,7 @@
         """
         packet.end_reason = reason
         (
-            self._port.error(packet)
+            self._port.fail(packet)
             if self._first_uncertain_trip_at(packet)
             else self._port.dismiss(packet, self._compute_retry_after(packet))
         )
@@ -548,16 +557,16 @@
             key=self._estimate_backlog_time,
         )
         victim = (
-            destination.order.least(self._now + AIMD_INTERVAL_NS)
+            destination.order.least_valuable(self._now + AIMD_INTERVAL_NS)
             if self._estimate_backlog_time(destination) > EVICTION_BACKLOG_TARGETS * self._target_latency
             else None
         )
         if victim and not self._first_uncertain_trip_at(victim) and not victim.restored:
             return victim
         # Packets accepted before the restart go last: new ones can be refused instead.
-        victim = self._dismissible.least(self._now + AIMD_INTERVAL_NS)
+        victim = self._dismissible.least_valuable(self._now + AIMD_INTERVAL_NS)
         if victim is None and self._open_packets > self._max_open:
-            return self._dismissible_restored.least(self._now + AIMD_INTERVAL_NS)
+            return self._dismissible_restored.least_valuable(self._now + AIMD_INTERVAL_NS)
         return victim
 
     def _close_packet(self, packet: Packet) -> None:
@@ -635,16 +644,16 @@
         if not (first := self._first_uncertain_trip_at(packet)):
             return True
         host = next(trip.call.host for trip in packet.trips if not trip.never_ran)  # None: before the restart
-        if packet.profile.effect is Effect.REPLAYABLE:
+        if packet.profile.effect is Effect.IDEMPOTENT:
             # The end of a trip from before the restart is never reported: the second one would be a copy.
             return self._allows_second_copies or host is not None
-        deduplicated = packet.profile.effect is Effect.REFERENCED and (
+        deduplicated = packet.profile.effect is Effect.IDEMPOTENT_BY_KEY and (
             host is not None or self._allows_second_copies
         )
-        if packet.profile.repeat_known_by_zone:  # only the zone that saw the first trip detects a repeat
+        if packet.profile.dedup_per_zone:  # only the zone that saw the first trip detects a repeat
             deduplicated = deduplicated and host is not None
             packet.bound_zone = host and host.zone
-        return deduplicated and self._now < first + packet.profile.repeat_known - self._margin
+        return deduplicated and self._now < first + packet.profile.dedup_window - self._margin
 
     def _record_call_outcome(
         self, call: Call, outcome: Outcome, latency: int, wait: int, report: tuple[float, ...]
@@ -693,7 +702,7 @@
                 (abs(latency - host.latency) - host.latency_deviation) // 4 if host.latency else latency // 2
             )
             host.latency += (latency - host.latency) // 8 if host.latency else latency
-            self._slow_start.succeeded(host, call, self._now)
+            self._slow_start.record_success(host, call, self._now)
             self._refusal_run_rate[host.kind] *= (
                 1 if scope.increased_at < NEVER else 1 - 1 / LEARNING_OUTCOMES
             )
@@ -706,7 +715,9 @@
             if call.sent_at > scope.backed_off_at:  # calls sent before the back-off tell nothing new
                 if scope.limit <= scope.fair_share * MIN_LIMIT_FACTOR:
                     # Hardly anything was sent: the host is failing, not at its limit.
-                    self._slow_start.failed(host, REFUSED_WEIGHT, "refused at the minimum limit", self._now)
+                    self._slow_start.record_failure(
+                        host, REFUSAL_LOG_ODDS, "refused at the minimum limit", self._now
+                    )
                 # Backs off from the rate in use: a limit far above it tells nothing.
                 sent_lately = sum(at > self._now - AIMD_INTERVAL_NS for at in scope.sent_times)
                 # A sparse sender must not starve.  In a run of refusals, the remaining part that the host
@@ -728,11 +739,11 @@
             # that it hangs.
             sparse = host.destination.accepted_count * self._fall_time < self._now - self._started_at
             if wait > 2 * AIMD_INTERVAL_NS or remaining > UNUSED_LIMIT_FRACTION and sparse:
-                weight = EJECT_AT if wait > 2 * AIMD_INTERVAL_NS else EJECT_AT / 2
+                weight = EJECTION_LOG_ODDS if wait > 2 * AIMD_INTERVAL_NS else EJECTION_LOG_ODDS / 2
                 cause = "long retry-after or unused limit"
-                evidence = Evidence.OWN_CAUSE
-                self._slow_start.siblings_failed(host, weight, cause, self._now, call, evidence)
-            self._slow_start.refused(host, self._now, call)
+                evidence = Evidence.OTHER_CAUSE
+                self._slow_start.record_sibling_failures(host, weight, cause, self._now, call, evidence)
+            self._slow_start.record_refusal(host, self._now, call)
         elif outcome in (Outcome.UNCONNECTED, Outcome.CROWDED):
             # Without this call itself: its other packets must not hide that the host is down.
             host.calls_when_full = host.in_flight - (call.trips_remaining > 0)
@@ -760,20 +771,24 @@
             # free up lately are no outage.
             tables_full = not slow and self._table_freed_at > self._now - STALE_MEMORY_NS
             if outcome is Outcome.UNCONNECTED and not host.calls_when_full and not tables_full:
-                self._slow_start.siblings_failed(host, EJECT_AT / 2, outcome.value, self._now, call)
+                self._slow_start.record_sibling_failures(
+                    host, EJECTION_LOG_ODDS / 2, outcome.value, self._now, call
+                )
             elif outcome is Outcome.UNCONNECTED and not host.calls_when_full and scope.rejected_connects > 1:
-                evidence = Evidence.OWN_CAUSE
-                self._slow_start.failed(host, EJECT_AT / 2, outcome.value, self._now, call, evidence)
+                evidence = Evidence.OTHER_CAUSE
+                self._slow_start.record_failure(
+                    host, EJECTION_LOG_ODDS / 2, outcome.value, self._now, call, evidence
+                )
         elif outcome is Outcome.CUT_OFF or outcome is Outcome.RESET and latency < host.latency:
-            self._record_lost_connection(call, FAILED_WEIGHT, reset=True)
+            self._record_lost_connection(call, FAILURE_LOG_ODDS, reset=True)
         elif (
             outcome in (Outcome.FAULT, Outcome.TIMED_OUT, Outcome.RESET, Outcome.SPOILT)
             and not call.is_overdue
         ):
             spoilt = outcome is Outcome.SPOILT  # the host did answer
-            weight = REFUSED_WEIGHT if spoilt else FAILED_WEIGHT
-            evidence = Evidence.OWN_CAUSE if spoilt else Evidence.OUTAGE
-            self._slow_start.failed(host, weight, outcome.value, self._now, call, evidence)
+            weight = REFUSAL_LOG_ODDS if spoilt else FAILURE_LOG_ODDS
+            evidence = Evidence.OTHER_CAUSE if spoilt else Evidence.OUTAGE
+            self._slow_start.record_failure(host, weight, outcome.value, self._now, call, evidence)
 
     def _set_abandoned(self, packet: Packet, abandoned: bool) -> None:
         """Note that the packet's last trip was given up and may still run, or that it has ended.
@@ -795,9 +810,9 @@
         than any that was answered of late.
         """
         host = call.host
-        weight = REFUSED_WEIGHT if reset and call.idle_time >= MIN_STALE_IDLE_NS else weight
+        weight = REFUSAL_LOG_ODDS if reset and call.idle_time >= MIN_STALE_IDLE_NS else weight
         cause = "connection reset" if reset else "overdue"
-        self._slow_start.failed(host, weight, cause, self._now, call, evidence)
+        self._slow_start.record_failure(host, weight, cause, self._now, call, evidence)
         if call.idle_time < MIN_STALE_IDLE_NS:
             host.idle_losses = 0
             host.connections_stale_at = -NEVER if call.on_new_connection else host.connections_stale_at
@@ -833,7 +848,7 @@
         cautious |= call.idle_time >= MIN_STALE_IDLE_NS and any(packet.on_last_trip for packet in packets)
         known_stale = max(host.connections_stale_at, self._all_stale_at) > self._now - STALE_MEMORY_NS
         if cautious or known_stale and self._now - host.idle_closed_at >= self._stale_idle_time * 0.8:
-            self._port.free_links(host)
+            self._port.close_idle_connections(host)
             host.idle_closed_at = self._now
             call.idle_time = 0
             call.on_new_connection = True
@@ -852,7 +867,7 @@
             self._cancel_overdue_calls()
         if self._timers and not now < self._alarm_at <= self._timers[0][0]:
             self._alarm_at = max(self._timers[0][0], now + MILLISECOND)
-            self._port.alarm(self._alarm_at - now)
+            self._port.set_alarm(self._alarm_at - now)
 
     def _pop_best_candidate(self) -> CandidateCall | None:
         """Return the candidate call that saves most value per second.
@@ -922,7 +937,7 @@
         while self._timers and self._timers[0][0] <= self._now:
             subject = heappop(self._timers)[2]
             if subject is None:
-                self._port.watch()
+                self._port.request_host_list()
             elif isinstance(subject, Packet):  # its deadline, or the end of its deduplication window
                 timed_out = self._now >= subject.deadline - self._margin
                 if not subject.ended and (subject.held or timed_out):
@@ -943,7 +958,7 @@
                     >= self._full_table_idle_time
                 ):
                     subject.idle_closed_at = self._now
-                    self._port.free_links(subject)
+                    self._port.close_idle_connections(subject)
             elif subject.trips_remaining:
                 self._handle_call_timer(subject)
 
@@ -961,11 +976,11 @@
             self._overdue_calls[call] = self._dirty[call.host.destination] = None
             self._set_timer(call.cancellable_at, call)
             silent = call.host.last_answer_at < call.sent_at  # no answer to any call in all that time
-            evidence = Evidence.OUTAGE if silent else Evidence.OWN_CAUSE  # a host that answers is up
+            evidence = Evidence.OUTAGE if silent else Evidence.OTHER_CAUSE  # a host that answers is up
             if silent and call.idle_time >= MIN_STALE_IDLE_NS:
                 evidence = Evidence.UNCLEAR  # the connection may have been stale
             self._record_lost_connection(
-                call, EJECT_AT / 2 if silent else FAILED_WEIGHT, reset=False, evidence=evidence
+                call, EJECTION_LOG_ODDS / 2 if silent else FAILURE_LOG_ODDS, reset=False, evidence=evidence
             )
 
     def _find_hosts_with_room(self, destination: Destination) -> list[Host]:
@@ -997,7 +1012,7 @@
         ready_at = max(
             scope.retry_after_until,
             scope.resume_at,
-            self._slow_start.opens_at(host, now),
+            self._slow_start.next_call_at(host, now),
             host.table_full_until if host.has_full_table(now) else 0,
         )
         if ready_at <= now:
@@ -1017,9 +1032,9 @@
                 if scope.limit < scope.max_limit:
                     ready_at = min(ready_at, scope.increased_at + AIMD_INTERVAL_NS)
         if ready_at > now:
-            self._schedule_check(host.destination, min(ready_at, self._slow_start.may_open_sooner(host, now)))
+            self._schedule_check(host.destination, min(ready_at, self._slow_start.recheck_at(host, now)))
             return False
-        held_back = self._slow_start.holds_back(host)
+        held_back = self._slow_start.withholds_calls(host)
         return (
             not held_back
             and scope.in_flight < self._scope_slots
@@ -1034,9 +1049,9 @@
         kind = hosts[0].kind
         scope = hosts[0].limit_scope
         hosts = [host for host in hosts if host.kind == kind]  # the list may be out of date for some
-        trial = all(self._slow_start.on_trial(host) for host in hosts)
+        trial = all(self._slow_start.is_on_trial(host) for host in hosts)
         max_packets = 1 if trial or kind >= len(self._max_batch) else self._max_batch[kind]
-        ranked = destination.order.best(
+        ranked = destination.order.select_most_urgent(
             self._now + call_time, max_packets, trial, {host.zone for host in hosts}, kind
         )
         # A packet whose deadline may come before the end of the call travels alone.
@@ -1048,7 +1063,7 @@
             and self._now < scope.backed_off_at + BATCH_WAIT_AFTER_BACK_OFF_NS
         ):
             # Calls are scarce after a back-off: a batch that is not full waits a little for more packets.
-            oldest_at = min(packet.target_at - packet.profile.quoted for _, packet in ranked)
+            oldest_at = min(packet.target_at - packet.profile.target_latency for _, packet in ranked)
             if oldest_at + self._target_latency // BATCH_WAIT_DIVISOR > self._now:
                 self._schedule_check(destination, oldest_at + self._target_latency // BATCH_WAIT_DIVISOR)
                 return None
@@ -1072,10 +1087,10 @@
             * load_factor
             * (MILLISECOND + host.latency)
         )
-        bears_trials = all(
-            packet.curve.bears_trials and not packet.on_last_trip for packet in candidate.packets
+        allows_trials = all(
+            packet.curve.allows_trials and not packet.on_last_trip for packet in candidate.packets
         )
-        rank = self._slow_start.rank(host, bears_trials)
+        rank = self._slow_start.selection_rank(host, allows_trials)
         return rank, host.fee * len(candidate.packets) + candidate.loss * call_time / self._target_latency
 
     def _send_call(self, host: Host, packets: list[Packet]) -> None:
@@ -1093,10 +1108,10 @@
         scope.in_flight += 1
         host.in_flight += 1
         self._in_flight += 1
-        self._slow_start.sent(host, now)
+        self._slow_start.record_call(host, now)
         # Cancelling loses packets that cannot be sent again: the non-idempotent ones, and where no second
         # copy may run, all but those that a stale connection may have lost.
-        loses_packets = any(p.profile.effect is Effect.SINGLE_USE for p in packets)
+        loses_packets = any(p.profile.effect is Effect.NON_IDEMPOTENT for p in packets)
         loses_packets |= not self._allows_second_copies and call.idle_time < MIN_STALE_IDLE_NS
         call.cancellable_at = now + overdue_time * (1 + loses_packets)
         call.overdue_at = now + overdue_time
@@ -1119,5 +1134,5 @@
         copies are allowed.
         """
         timeout = max(self._target_latency, 2 * overdue_time) * len(packet.trips)
-        retryable = packet.profile.effect is Effect.REPLAYABLE and self._allows_second_copies
+        retryable = packet.profile.effect is Effect.IDEMPOTENT and self._allows_second_copies
         return timeout if retryable and self._now + timeout < packet.deadline else 0
--- a/millweir/events.py
+++ b/millweir/events.py
@@ -1,4 +1,4 @@
-"""What the decisions tell of themselves, typed: state of hosts, and why a message was refused or ended."""
+"""Types in which the decisions report: host states, and why a message was refused or ended undelivered."""
 
 from __future__ import annotations
 
@@ -7,61 +7,61 @@
 
 
 class HostState(Enum):
-    """How a host is treated."""
+    """How the relay treats a host."""
 
     HEALTHY = "healthy"
-    SUSPECTED = "suspected"  # one call failed; one more may follow at once, then spaced trials alone
-    EJECTED = "ejected"  # spaced trials alone, one at a time
-    SLOW_START = "slow-start"  # a trial went well: the pace grows with time
+    SUSPECTED = "suspected"  # one call failed; one more may follow at once, then only spaced trial calls
+    EJECTED = "ejected"  # spaced trial calls only, one at a time
+    SLOW_START = "slow-start"  # a trial call succeeded: the rate grows with time
 
 
 @dataclass(frozen=True, slots=True)
 class HostTransition:
-    """One change of a host's state; `slow_start_rate`: calls a second that it may be sent from now on."""
+    """One change of a host's state."""
 
     host: bytes
     state: HostState
     cause: str
-    slow_start_rate: float
+    slow_start_rate: float  # calls per second that the host may be sent from now on
 
 
 @dataclass(frozen=True, slots=True)
 class HostView:
-    """What is believed of a host, as the log tells it beside each call that went wrong."""
+    """What the relay knows of a host, for the log line of each call that failed there."""
 
     state: HostState
-    last_success_at: int  # when a call to it went well last; 0: none in this life
-    limit: float  # calls a second that may be sent there, as learned
+    last_success_at: int  # when a call to it last succeeded; 0: never since this process started
+    limit: float  # calls per second that the host accepts, as learned
 
 
 @dataclass(frozen=True, slots=True)
-class ColdHost:
-    """A host in slow start, or whose last call went wrong, in the form that outlasts the process."""
+class RecoveringHost:
+    """A host in slow start, or whose last call failed, in the form that outlasts the process."""
 
     host: bytes
-    seen_at: int  # when its last call failed or was refused
-    slow_start_rate: float  # calls a second at the begin of its slow start; 0: not in it
-    recovered_at: int  # when the first call went well; 0 while none has
-    limit: float  # calls a second, as learned from refusals; 0: its last call was not refused
+    last_failure_at: int  # when a call to it last failed or was refused
+    slow_start_rate: float  # calls per second at the start of its slow start; 0: not in slow start
+    recovered_at: int  # when the first call succeeded; 0 while none has
+    limit: float  # calls per second, as learned from refusals; 0: its last call was not refused
 
 
 class EndReason(Enum):
-    """Why a message that was taken on ended undelivered."""
+    """Why an accepted message ended undelivered."""
 
-    DEADLINE = "deadline"
-    TABLE_FULL = "table-full"
+    DEADLINE = "deadline"  # its time was up
+    TABLE_FULL = "table-full"  # it made room for another message
     ATTEMPTS_USED = "attempts-used"
-    MAY_HAVE_RUN = "may-have-run"
-    REPEAT_WINDOW = "repeat-window-over"
-    UNREADABLE = "unreadable"
+    MAY_HAVE_RUN = "may-have-run"  # an attempt may have taken effect, and it may not be sent again
+    REPEAT_WINDOW = "repeat-window-over"  # hosts no longer remember its idempotency key
+    UNREADABLE = "unreadable"  # the host could not parse it
 
 
 class RefusalReason(Enum):
-    """Why a message was not taken on."""
+    """Why a message was not accepted."""
 
     NONE = "none"
     TABLE_FULL = "table-full"
-    LATE = "would-end-late"
+    LATE = "would-end-late"  # its final outcome could come after its deadline
     NOT_LISTED = "destination-not-listed"
     NO_ROOM = "journal-full"
-    STOPPING = "stopping"
+    STOPPING = "stopping"  # the process is shutting down
--- a/millweir/interface.py
+++ b/millweir/interface.py
@@ -1,6 +1,6 @@
-"""What the decision module is handed: settings as given, outcomes, and the port through which it acts.
+"""Types shared by the decisions and their callers: settings, hosts, outcomes, and the port for actions.
 
-Times are whole nanoseconds, rates are per second.  This file decides nothing.
+Times and spans are whole nanoseconds, rates are per second.  This module makes no decisions.
 """
 
 from __future__ import annotations
@@ -17,42 +17,42 @@
 
 
 class Effect(Enum):
-    """What a repeat of a packet would do."""
+    """What sending a packet again does."""
 
-    REPLAYABLE = "replayable"
-    REFERENCED = "referenced"
-    SINGLE_USE = "single-use"
+    IDEMPOTENT = "replayable"  # a repeat has no further effect
+    IDEMPOTENT_BY_KEY = "referenced"  # nor has it while the host remembers the idempotency key
+    NON_IDEMPOTENT = "single-use"  # a repeat takes effect again
 
 
 class Outcome(Enum):
     """How a trip ended."""
 
     FULFILLED = "fulfilled"
-    FAULT = "fault"
-    FULL = "full"
+    FAULT = "fault"  # the host answered with an error
+    FULL = "full"  # refused: the host's rate limit is reached, or it is overloaded
     TIMED_OUT = "timed out"
-    UNCONNECTED = "unconnected"
-    RESET = "reset"
-    CANCELLED = "cancelled"
-    MOOT = "moot"
-    SPOILT = "spoilt"
-    CUT_OFF = "cut off"
-    CROWDED = "crowded"
-    UNREADABLE = "unreadable"
+    UNCONNECTED = "unconnected"  # no connection could be made
+    RESET = "reset"  # the connection was lost after the call was sent
+    CANCELLED = "cancelled"  # given up by the decisions
+    MOOT = "moot"  # not run: withheld before it was sent, or the host answered that it has expired or is gone
+    SPOILT = "spoilt"  # the answer could not be parsed
+    CUT_OFF = "cut off"  # the connection was lost before the call was sent whole
+    CROWDED = "crowded"  # refused on a new connection, which the host closed: it has too many of them
+    UNREADABLE = "unreadable"  # the host can't parse the packet
 
     @property
     def never_ran(self) -> bool:
-        """All others may have."""
+        """The call certainly had no effect; after all other outcomes it may have had one."""
         return self in NEVER_RAN
 
     @property
     def given_up(self) -> bool:
-        """It ended here alone: the host has said nothing, and the connection stood."""
+        """The trip was ended by this relay alone: the host had not answered and the connection stood."""
         return self in (Outcome.TIMED_OUT, Outcome.CANCELLED)
 
     @property
     def may_run_on(self) -> bool:
-        """Its call may be at work still."""
+        """The host may still be working on the call."""
         return self in MAY_RUN_ON
 
 
@@ -63,16 +63,16 @@
 
 
 class Change(Enum):
-    """What a piece of list news is."""
+    """The kind of an update of the host list."""
 
-    DELTA = "delta"
-    FULL = "full"
-    CACHED = "cached"
-    FAILED = "failed"
+    DELTA = "delta"  # only the entries that changed
+    FULL = "full"  # the whole list: hosts that it lacks are removed
+    CACHED = "cached"  # the whole list as an earlier process run knew it
+    FAILED = "failed"  # the list could not be fetched
 
 
 class Phase(Enum):
-    """What the list says of a host."""
+    """The state of a host in the host list."""
 
     GONE = "gone"
     READY = "ready"
@@ -81,39 +81,42 @@
 
 @dataclass(frozen=True, slots=True)
 class Profile:
-    """A class of packets."""
+    """A class of packets: how fast they are wanted, what they are worth, and whether they may be repeated."""
 
     name: str
-    value: float
-    quoted: int
-    give_up: int
-    late_share: float
+    value: float  # of a packet delivered in time
+    target_latency: int  # time from acceptance within which a packet keeps its whole value
+    lifetime: int  # time from acceptance to the deadline
+    value_floor: float  # the fraction of the value that a late packet keeps up to its deadline
     effect: Effect
-    repeat_known: int
-    repeat_known_by_zone: bool
-    in_order: bool
-    kinds: frozenset[int] = frozenset()  # of destinations that it may go to; none named: all
-
-    def worth(self, halves: bool, late: int) -> float:
-        """What part of its gain is left so late: it halves with each quoted time, or falls evenly."""
-        room = self.give_up - self.quoted
+    dedup_window: int  # for how long a host remembers an idempotency key
+    dedup_per_zone: bool  # the key is known only in the zone where it was first used
+    in_order: bool  # packets with the same key are sent one at a time, in order
+    kinds: frozenset[int] = frozenset()  # kinds of hosts that may be used; empty: all
+
+    def value_fraction(self, halves: bool, late: int) -> float:
+        """The fraction of its value that a packet has left when it is delivered so late.
+
+        `halves`: the value halves with each target latency that passes; else it falls linearly.
+        """
+        room = self.lifetime - self.target_latency
         if late <= 0 or late >= room:
             return float(late <= 0)
         if halves:
-            return max(self.late_share, 0.5 ** (late / self.quoted))
-        return 1 - (1 - self.late_share) * late / room
+            return max(self.value_floor, 0.5 ** (late / self.target_latency))
+        return 1 - (1 - self.value_floor) * late / room
 
-    def turns(self, halves: bool) -> list[int]:
-        """Where that curve jumps or bends."""
-        turns = [1, self.give_up - self.quoted]
-        if halves and 0 < self.late_share < 1:
-            turns.append(int(self.quoted * -log2(self.late_share)))
-        return turns
+    def breakpoints(self, halves: bool) -> list[int]:
+        """The latenesses at which the value curve jumps or bends."""
+        breakpoints = [1, self.lifetime - self.target_latency]
+        if halves and 0 < self.value_floor < 1:
+            breakpoints.append(int(self.target_latency * -log2(self.value_floor)))
+        return breakpoints
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A customer and the packets a second, over all relays, that lie within its share."""
+    """A customer and its quota: packets per second over all relays that are within its fair share."""
 
     name: str
     quota: float
@@ -121,124 +124,124 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """The settings as given at start."""
+    """The settings of a relay; times in nanoseconds."""
 
-    relays: int
+    relays: int  # number of relays that share the rates
     profiles: tuple[Profile, ...]
     tenants: tuple[Tenant, ...]
-    zone: int
+    zone: int  # this relay's zone, an index into zones
     zones: tuple[str, ...]
-    kinds: tuple[str, ...]
-    period: int
-    slots: int
-    max_open: int
-    max_trips: int
-    cancel: bool
-    retry_after: bool
+    kinds: tuple[str, ...]  # of hosts
+    period: int  # between two rounds of decisions
+    slots: int  # calls that may be in flight at once
+    max_open: int  # packets accepted and not ended yet; 0: no bound
+    max_trips: int  # trips of one packet
+    cancel: bool  # trips may be cancelled
+    retry_after: bool  # clients may be given a retry-after
     max_retry_after: int
-    idle_close: int
+    idle_close: int  # after which hosts close an idle connection
     connect_timeout: int
-    halves: bool
-    second_copies: bool
-    bundle_max: tuple[int, ...]
-    apart: tuple[bool, ...]
-    over_share: float
-    must_ask: bool
-    must_ask_in: int
-    rates_listed: bool
-    rates_rough: bool
-    reports: tuple[str, ...]
-    drain_grace: int
-    answer_slack: int
-    fall_multiple: float
-    fall_time: int
-    cold_from: float
-    cold_time: int
-    key_quiet: int
-    fees: tuple[float, ...]  # by zone, for each trip that a route apart takes on; of a mean packet's gain
+    halves: bool  # a late packet's value halves with each target latency; else it falls linearly
+    second_copies: bool  # a packet may be sent again while an earlier trip may still be running
+    bundle_max: tuple[int, ...]  # packets in one batch, by kind of host
+    apart: tuple[bool, ...]  # by kind of host: each host has a rate limit of its own
+    over_share: float  # the fraction of its value that a packet beyond its tenant's quota has
+    must_ask: bool  # the host list is sent on request only
+    must_ask_in: int  # the longest time between two such requests
+    rates_listed: bool  # the host list names the hosts' rate limits
+    rates_rough: bool  # those limits are approximate
+    reports: tuple[str, ...]  # names of the fields of a host's load report
+    drain_grace: int  # for which a draining or removed host may still be sent calls
+    answer_slack: int  # by which a final outcome may come after the deadline
+    fall_multiple: float  # calls to a recovering host within the fall time, as a multiple of its capacity
+    fall_time: int  # the window in which the calls to a recovering host are counted
+    cold_from: float  # capacity of a host at the start of its recovery, as a fraction
+    cold_time: int  # until a recovering host has its full capacity
+    key_quiet: int  # quiet period of a key after a trip that may still be running
+    fees: tuple[float, ...]  # by zone: of a trip to a host with its own rate limit, in mean packet values
 
     @property
     def max_wait(self) -> int:
-        """For how long a client may be asked to stay away."""
+        """The longest retry-after that a client may be given."""
         return self.max_retry_after if self.retry_after else 0
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One line of the list of hosts."""
+    """One entry of the host list."""
 
     host: bytes
     zone: int
     kind: int
     destination: int
     phase: Phase
-    rate: float
+    rate: float  # calls per second
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What one relay's machine gives it."""
+    """What the machine provides for one relay."""
 
     descriptors: int
-    disk: int
-    memory: int
+    disk_bytes: int
+    memory_bytes: int
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """What the code round the module keeps to: derived figures, worked out in control.py."""
-
-    link_life: int
-    host_links: int
-    client_links: int
-    request: int
-    doubtful: int
-    ids_known: int
-    journal_file: int
-    journal_live: int
-    resend: int
-    redial: int
-    watch: int
-    silence: int
-    proofs: tuple[int, ...]
-    opening: int
-    linger: int
-    leave: int
-    parting: int
-    log_lines: int
-    head_most: int
-    body_most: int
-    hold: int
-    answer_most: int
-    answer_time: int
-    list_most: int
-    notices: int
-    lag_kept: int
-    turn_reads: int
-    rest: int  # nanoseconds, the longest after a call that discovery turned away
-    turn_calls: int
+    """Limits and time-outs for the network code, derived from the settings and the machine in control.py."""
+
+    connection_idle_timeout_ns: int  # of a connection to a host
+    max_host_connections: int
+    max_client_connections: int
+    request_timeout_ns: int  # for a client to send a whole request
+    client_grace_ns: int  # before a client connection with no whole request may be dropped
+    max_ended_ids: int  # message ids kept after their end, to recognise repeats
+    max_journal_file_bytes: int
+    max_journal_live_bytes: int  # of messages not ended yet
+    retry_interval_ns: int  # the longest pause before a failed request is repeated; time-out of notifications
+    reconnect_delay_ns: int  # the shortest such pause
+    watch_wait_ns: int  # for which discovery may hold a request for list changes
+    watch_timeout_ns: int  # after which such a request counts as unanswered
+    probe_timeouts_ns: tuple[int, ...]  # of requests to a discovery address not proven yet, by failures
+    startup_list_wait_ns: int  # for discovery at a start, before calls go out by the list of the last run
+    shutdown_linger_ns: int  # for requests that are still on their way to a stopping process
+    shutdown_timeout_ns: int
+    client_close_timeout_ns: int  # for clients to close their connections at the end of a shutdown
+    max_log_lines_per_second: int
+    max_head_bytes: int  # of a client's request
+    max_body_bytes: int
+    last_byte_hold_ns: int  # for which the last byte of a call is held back
+    max_answer_bytes: int
+    answer_timeout_ns: int  # from the first bytes of an answer to its last
+    max_list_bytes: int
+    max_notifications_per_request: int
+    lag_window_ns: int  # over which the event loop's lag is observed
+    max_requests_per_turn: int
+    max_discovery_back_off_ns: int  # after a request that discovery turned away
+    max_calls_per_turn: int
 
 
 class Port(Protocol):
-    """How the decision module acts."""
+    """The actions that the decisions take."""
 
     def send(self, packet: Packet, host: Host, time_out: int) -> None:
-        """Start a trip; a time_out of 0 runs to the hard stop."""
+        """Start a trip; with a time-out of 0 it runs to the deadline."""
 
     def cancel(self, packet: Packet, number: int) -> None:
         """Stop waiting for one trip."""
 
     def dismiss(self, packet: Packet, wait: int) -> None:
-        """Final answer: not done, may come again after the wait (0: no advice)."""
+        """End the packet: not delivered, may be handed in again after the wait (0: no advice)."""
 
-    def error(self, packet: Packet) -> None:
-        """Final answer: given up, nothing promised about its effect."""
+    def fail(self, packet: Packet) -> None:
+        """End the packet: given up, it may or may not have taken effect."""
 
-    def free_links(self, host: Host) -> None:
+    def close_idle_connections(self, host: Host) -> None:
         """Close this relay's idle connections to a host."""
 
-    def alarm(self, delay: int) -> None:
-        """Ring after the delay."""
+    def set_alarm(self, delay: int) -> None:
+        """Ask for the next round of decisions after the delay."""
 
-    def watch(self) -> None:
-        """Ask to be told of list changes."""
+    def request_host_list(self) -> None:
+        """Ask for changes of the host list."""
--- a/millweir/lab/checker.py
+++ b/millweir/lab/checker.py
@@ -31,7 +31,7 @@
     single_use: frozenset[str]
     referenced: frozenset[str]
     in_order: frozenset[str]
-    repeat_known: int
+    dedup_window: int
     drain_grace: int
     wait_grace: int = 100 * MILLISECOND
     overdue: int = 300 * MILLISECOND
@@ -171,7 +171,7 @@
             continue
         if packet.profile in terms.single_use:
             verdict.broken[2].append(f"{ident} (single-use) was called {len(made)} times")
-        elif packet.profile in terms.referenced and later[-1].at > risky[0].at + terms.repeat_known + SLACK:
+        elif packet.profile in terms.referenced and later[-1].at > risky[0].at + terms.dedup_window + SLACK:
             verdict.broken[2].append(f"{ident} (referenced) was repeated too late")
 
 
--- a/millweir/lab/outages/fleet.py
+++ b/millweir/lab/outages/fleet.py
@@ -12,7 +12,7 @@
 from itertools import count
 
 from millweir.control import Relay
-from millweir.events import ColdHost
+from millweir.events import RecoveringHost
 from millweir.interface import MILLISECOND, SECOND, Change, Entry, Outcome, Phase
 from millweir.lab.outages.budget import Arrival, worst_window
 from millweir.lab.outages.scenario import Crossing, OutageKind, OutageScenario
@@ -44,7 +44,7 @@
 
     owed: dict[int, OwedMessage] = field(default_factory=dict)
     waits: dict[bytes, int] = field(default_factory=dict)  # host: until when it is to be left alone
-    cold: list[ColdHost] = field(default_factory=list)
+    cold: list[RecoveringHost] = field(default_factory=list)
 
 
 class Process:
@@ -155,17 +155,17 @@
         """Final answer."""
         self.folder.owed.pop(packet.id, None)
 
-    def error(self, packet: Packet) -> None:
+    def fail(self, packet: Packet) -> None:
         """Final answer."""
         self.folder.owed.pop(packet.id, None)
 
-    def free_links(self, host: Host) -> None:
+    def close_idle_connections(self, host: Host) -> None:
         """No link is modelled."""
 
-    def watch(self) -> None:
+    def request_host_list(self) -> None:
         """News of the list comes by itself."""
 
-    def alarm(self, delay: int) -> None:
+    def set_alarm(self, delay: int) -> None:
         """Ring after the delay."""
         due = self._alarm_at = self._fleet.now + delay
         self._fleet.at(delay, lambda: self._alarm_at == due and self.turn())
--- a/millweir/lab/outages/scenario.py
+++ b/millweir/lab/outages/scenario.py
@@ -8,7 +8,7 @@
 
 from millweir.interface import MILLISECOND, SECOND, Settings
 from millweir.lab.standins import SETTINGS
-from millweir.settings import read_settings
+from millweir.settings import parse_settings
 
 
 class OutageKind(Enum):
@@ -79,7 +79,7 @@
             "fall-us": self.fall_time // 1000,
             "fall-multiple": self.fall_multiple,
         }
-        return read_settings(
+        return parse_settings(
             SETTINGS
             | {
                 "balancers": max(1, round(self.relays * self.configured)),
--- a/millweir/lab/scale/cores.py
+++ b/millweir/lab/scale/cores.py
@@ -8,15 +8,15 @@
 from dataclasses import replace
 
 from millweir.control import Relay
-from millweir.facade import Facade, Job, Part
+from millweir.facade import DecisionEngine, Job, Part
 from millweir.interface import MILLISECOND, SECOND, Change, Entry, Limits, Outcome, Phase, Settings
 from millweir.lab.standins import SETTINGS
 from millweir.records import Host, Packet
-from millweir.settings import read_settings
+from millweir.settings import parse_settings
 
 START = 1000 * SECOND
 RATE = 1000.0  # calls a second that each destination takes
-LIMITS = Limits(descriptors=1024, disk=1 << 30, memory=1 << 30)
+LIMITS = Limits(descriptors=1024, disk_bytes=1 << 30, memory_bytes=1 << 30)
 CHUNK = 10_000  # entries told at once where it does not matter how many
 KIND, ZONE, TENANT = 0, 0, 0
 SERVICE_CLASS = 0  # idempotent, without order
@@ -24,7 +24,7 @@
 
 def settings(slots: int = 64, most_open: int = 0) -> Settings:
     """Those of the lab's real relays, for one relay; no limit of open messages unless one is given."""
-    return replace(read_settings(SETTINGS), relays=1, slots=slots, max_open=most_open)
+    return replace(parse_settings(SETTINGS), relays=1, slots=slots, max_open=most_open)
 
 
 def host_name(number: int) -> bytes:
@@ -64,16 +64,16 @@
     def dismiss(self, packet: Packet, wait: int) -> None:
         self.ended += 1
 
-    def error(self, packet: Packet) -> None:
+    def fail(self, packet: Packet) -> None:
         self.ended += 1
 
-    def free_links(self, host: Host) -> None:
+    def close_idle_connections(self, host: Host) -> None:
         """There are none."""
 
-    def alarm(self, delay: int) -> None:
+    def set_alarm(self, delay: int) -> None:
         """The clock is the caller's."""
 
-    def watch(self) -> None:
+    def request_host_list(self) -> None:
         """The list is told by the caller."""
 
     # What happens.
@@ -107,23 +107,23 @@
     def __init__(self, given: Settings, seed: int) -> None:
         self.now = START
         self.chance = random.Random(seed)
-        self.facade: Facade[object] = Facade(given, LIMITS, seed, self.now)
+        self.engine: DecisionEngine[object] = DecisionEngine(given, LIMITS, seed, self.now)
 
     def list_all(self, size: int) -> None:
         """So many destinations are listed."""
         for some in chunks(size):
-            self.facade.told(self.now, Change.DELTA, some)
-        self.facade.tick(self.now)
+            self.engine.update_hosts(self.now, Change.DELTA, some)
+        self.engine.tick(self.now)
 
     def take(self, destination: int, life: int = 6 * SECOND) -> None:
         """A message is handed in for that destination."""
-        self.facade.take(self.now, object(), SERVICE_CLASS, TENANT, 0, self.now + life, destination)
+        self.engine.add_packet(self.now, object(), SERVICE_CLASS, TENANT, 0, self.now + life, destination)
 
     def tick(self) -> Job[object] | None:
         """A turn, and the call that it makes."""
-        self.facade.tick(self.now)
-        return self.facade.pick()
+        self.engine.tick(self.now)
+        return self.engine.pop_job()
 
     def answer(self, part: Part[object]) -> None:
         """That call delivered its message."""
-        self.facade.report(self.now, part, Outcome.FULFILLED, finished=True)
+        self.engine.report_outcome(self.now, part, Outcome.FULFILLED, finished=True)
--- a/millweir/lab/scale/decisions.py
+++ b/millweir/lab/scale/decisions.py
@@ -183,7 +183,7 @@
         changed += 1
         engine.now += SECOND
         with meter:
-            engine.facade.told(engine.now, Change.DELTA, rows)
+            engine.engine.update_hosts(engine.now, Change.DELTA, rows)
         engine.tick()
 
     def turn(meter: AbstractContextManager) -> None:
@@ -201,7 +201,7 @@
 
     def targets(meter: AbstractContextManager) -> None:
         with meter:
-            engine.facade.targets()
+            engine.engine.count_hosts()
 
     return {
         "engine-change": change,
@@ -223,8 +223,8 @@
     """The instructions of an engine's steps, from a fresh engine."""
     engine = Engine(settings(), seed)
     engine.list_all(subject.size)
-    walk_in_python(engine.facade)
-    walk_in_python(engine.facade._relay)
+    walk_in_python(engine.engine)
+    walk_in_python(engine.engine._relay)
     for quantity, step in engine_steps(engine, subject.size).items():
         if quantity != "engine-targets":
             yield subject.counted(quantity, step)
--- a/millweir/lab/scale/journal.py
+++ b/millweir/lab/scale/journal.py
@@ -176,7 +176,9 @@
         for owed in journal.owed.values():
             earlier = tuple((at, bool(void)) for at, void in owed.trips)
             stop = START + owed.hard_stop // 2
-            engine.facade.take(engine.now, owed, SERVICE_CLASS, TENANT, 0, stop, owed.destination, earlier)
+            engine.engine.add_packet(
+                engine.now, owed, SERVICE_CLASS, TENANT, 0, stop, owed.destination, earlier
+            )
 
     times.add(hand_in)
     journal.close()
--- a/millweir/lab/scale/network.py
+++ b/millweir/lab/scale/network.py
@@ -8,7 +8,7 @@
 from contextlib import AbstractContextManager
 from pathlib import Path
 
-from millweir.facade import Facade
+from millweir.facade import DecisionEngine
 from millweir.interface import SECOND, Change, Limits, Phase
 from millweir.lab.scale.cores import RATE, host_name, settings
 from millweir.lab.scale.steps import walk_in_python
@@ -21,7 +21,7 @@
 from millweir.net.journal import Journal, OwedMessage
 from millweir.net.log import Log
 
-LIMITS = Limits(descriptors=1024, disk=64 << 20, memory=1 << 30)
+LIMITS = Limits(descriptors=1024, disk_bytes=64 << 20, memory_bytes=1 << 30)
 ADDRESS = "127.0.0.1:9"  # of all hosts: no call is made
 STATUSES = {Phase.READY: "SERVING", Phase.DRAINING: "DRAINING", Phase.GONE: "DELETED"}
 LONG_WAIT = 3600 * SECOND
@@ -66,12 +66,14 @@
             settings=given,
             given=SETTINGS,
         )
-        self.facade: Facade[OwedMessage] = Facade(given, LIMITS, self._seed, clock.steady())
-        log, bounds = Log(NO_LOG), self.facade.bounds
-        self._journal = Journal(self._folder, bounds.journal_file, bounds.journal_live, log.say)
-        self.desk = Desk(loop, config, self.facade, self._journal, log, Counters())
+        self.engine: DecisionEngine[OwedMessage] = DecisionEngine(given, LIMITS, self._seed, clock.steady())
+        log, bounds = Log(NO_LOG), self.engine.bounds
+        self._journal = Journal(
+            self._folder, bounds.max_journal_file_bytes, bounds.max_journal_live_bytes, log.say
+        )
+        self.desk = Desk(loop, config, self.engine, self._journal, log, Counters())
         self.desk._told(Change.FULL, read_list(whole, given))
-        self.facade.tick(clock.steady())
+        self.engine.tick(clock.steady())
         return self
 
     async def __aexit__(self, *_: object) -> None:
@@ -86,7 +88,7 @@
 
     def walk_in_python(self) -> None:
         """From here on, each entry of a table that is visited counts among the instructions."""
-        for owner in (self.facade._relay, self.facade, self.desk, self.desk._hosts):
+        for owner in (self.engine._relay, self.engine, self.desk, self.desk._hosts):
             walk_in_python(owner)
         walk_in_python(self.desk._waits)
         walk_in_python(self.desk._cordons)
--- a/millweir/lab/scale/placement_senders.py
+++ b/millweir/lab/scale/placement_senders.py
@@ -34,7 +34,7 @@
 HOST = bytes((10, 0, 0, 1, 0, 80))
 DESTINATION = 7
 COLD_SHARE = 0.4  # fall-multiple x cold-from
-CLASS = Profile("class", 1.0, 2 * SECOND, 60 * SECOND, 0.4, Effect.REPLAYABLE, 0, False, False)
+CLASS = Profile("class", 1.0, 2 * SECOND, 60 * SECOND, 0.4, Effect.IDEMPOTENT, 0, False, False)
 
 
 def settings_for(relays: int) -> Settings:
@@ -121,19 +121,19 @@
     def dismiss(self, packet: Packet, wait: int) -> None:
         self._run.given_up += 1
 
-    def error(self, packet: Packet) -> None:
+    def fail(self, packet: Packet) -> None:
         self._run.given_up += 1
 
-    def alarm(self, delay: int) -> None:
+    def set_alarm(self, delay: int) -> None:
         self._run.schedule(self._run.now + delay, self._ring)
 
     def cancel(self, packet: Packet, number: int) -> None:
         """Answers come in time here."""
 
-    def free_links(self, host: Host) -> None:
+    def close_idle_connections(self, host: Host) -> None:
         """There are no links here."""
 
-    def watch(self) -> None:
+    def request_host_list(self) -> None:
         """The list never changes here."""
 
     def _ring(self) -> None:
@@ -185,7 +185,7 @@
 
     def _hand_in(self) -> None:
         relay = self.senders[self._chance.randrange(self.relays)].relay
-        relay.add_packet(self.now, self._order(), 0, 0, 0, self.now + CLASS.give_up, DESTINATION)
+        relay.add_packet(self.now, self._order(), 0, 0, 0, self.now + CLASS.lifetime, DESTINATION)
         relay.end_round(self.now)
 
 
--- a/millweir/net/clients.py
+++ b/millweir/net/clients.py
@@ -38,7 +38,7 @@
 
     def __init__(self, listener: ClientListener) -> None:
         self._listener = listener
-        self._reader = RequestReader(listener.bounds.head_most, listener.bounds.body_most)
+        self._reader = RequestReader(listener.bounds.max_head_bytes, listener.bounds.max_body_bytes)
         self._unread = 0  # bytes thrown away since its end began
         self._transport: asyncio.Transport | None = None
         self.pending = 0  # requests read and not answered
@@ -58,7 +58,7 @@
     def data_received(self, data: bytes) -> None:
         if self.reason:
             self._unread += len(data)
-            if self._unread > self._listener.bounds.body_most:
+            if self._unread > self._listener.bounds.max_body_bytes:
                 self.abort()
             return
         was_busy = self._reader.busy
@@ -72,7 +72,7 @@
             self.asked += 1
             self._listener.read(self, request)
         self._reader.requests.clear()
-        if self.pending > PENDING_TURNS * self._listener.bounds.turn_reads:
+        if self.pending > PENDING_TURNS * self._listener.bounds.max_requests_per_turn:
             self.end("flood")  # guards the table of what has arrived: none of it is taken on
             self.abort()
 
@@ -155,7 +155,7 @@
         counters: Counters,
     ) -> None:
         self.bounds = bounds
-        self._most = bounds.client_links
+        self._most = bounds.max_client_connections
         self._wake = wake
         self._log = log
         self._counters = counters
@@ -173,13 +173,15 @@
         for link in list(self._links):
             if self.closing and link.idle and not link.reason and not link.fresh(self._awaited(now)):
                 link.end("quiesced")
-            elif link.stalls(now - (self.bounds.doubtful if link.reason else self.bounds.request)):
+            elif link.stalls(
+                now - (self.bounds.client_grace_ns if link.reason else self.bounds.request_timeout_ns)
+            ):
                 link.time_out()
-        self._loop.call_later(self.bounds.doubtful / 2e9, self._sweep)
+        self._loop.call_later(self.bounds.client_grace_ns / 2e9, self._sweep)
 
     def _awaited(self, now: int) -> int:
         """Who came up after this may have a request on its way."""
-        return now - 2 * self.bounds.doubtful
+        return now - 2 * self.bounds.client_grace_ns
 
     def opened(self, link: ClientLink) -> None:
         self._links[link] = None
@@ -193,7 +195,7 @@
 
     def _spare(self, newest: ClientLink) -> ClientLink:
         """Whom to close: who sends nothing whole, else who is idle longest, else who is slow."""
-        doubtful, idle, slow = clock.steady() - self.bounds.doubtful, None, None
+        doubtful, idle, slow = clock.steady() - self.bounds.client_grace_ns, None, None
         for link in self._links:
             if link.stalls(doubtful):
                 return link
--- a/millweir/net/cold_hosts.py
+++ b/millweir/net/cold_hosts.py
@@ -15,8 +15,8 @@
 from pathlib import Path
 from typing import Any
 
-from millweir.events import ColdHost
-from millweir.facade import Facade
+from millweir.events import RecoveringHost
+from millweir.facade import DecisionEngine
 from millweir.net import clock
 from millweir.net.log import Log
 
@@ -35,7 +35,7 @@
     """What such a file holds."""
 
     written_at: int  # steady time; 0 where it is of another boot
-    hosts: list[ColdHost]
+    hosts: list[RecoveringHost]
 
 
 def decode_cold_hosts(raw: bytes, boot: str, now: int) -> ColdHostsFile:
@@ -53,21 +53,23 @@
         raise Unreadable(repr(fault)) from fault
     if same_boot:
         return ColdHostsFile(written_at, hosts)
-    return ColdHostsFile(0, [replace(host, seen_at=now, recovered_at=0) for host in hosts])
+    return ColdHostsFile(0, [replace(host, last_failure_at=now, recovered_at=0) for host in hosts])
 
 
 def _decode_host(
-    name: str, seen_at: int, slow_start_rate: float, recovered_at: int, limit: float
-) -> ColdHost:
-    if not all(0 <= figure < 1 << 63 for figure in (seen_at, slow_start_rate, recovered_at, limit)):
+    name: str, last_failure_at: int, slow_start_rate: float, recovered_at: int, limit: float
+) -> RecoveringHost:
+    if not all(0 <= figure < 1 << 63 for figure in (last_failure_at, slow_start_rate, recovered_at, limit)):
         raise ValueError(f"figures out of range for {name[:80]!r}")
-    return ColdHost(name.encode(), int(seen_at), float(slow_start_rate), int(recovered_at), float(limit))
+    return RecoveringHost(
+        name.encode(), int(last_failure_at), float(slow_start_rate), int(recovered_at), float(limit)
+    )
 
 
-def encode_cold_hosts(hosts: Iterable[ColdHost], boot: str, now: int) -> bytes:
+def encode_cold_hosts(hosts: Iterable[RecoveringHost], boot: str, now: int) -> bytes:
     """The content of such a file."""
     rows = {
-        host.host.decode(): (host.seen_at, host.slow_start_rate, host.recovered_at, host.limit)
+        host.host.decode(): (host.last_failure_at, host.slow_start_rate, host.recovered_at, host.limit)
         for host in hosts
     }
     content = {"boot": boot, "written_at": now, "hosts": rows}
@@ -79,7 +81,7 @@
 
     __slots__ = (
         "_boot",
-        "_facade",
+        "_engine",
         "_fresh",
         "_log",
         "_loop",
@@ -97,19 +99,19 @@
         loop: asyncio.AbstractEventLoop,
         folder: Path,
         slot: int,
-        facade: Facade[Any],
+        engine: DecisionEngine[Any],
         wake: Callable[[], None],
         log: Log,
     ) -> None:
         """`slot` is this process's own among those that share the folder."""
-        self._loop, self._path, self._facade = loop, folder / FILE, facade
+        self._loop, self._path, self._engine = loop, folder / FILE, engine
         self._fresh = self._path.with_suffix(f".{slot}.new")
         self._wake, self._log = wake, log
         self._boot = clock.boot_id().hex()
-        self._unlisted: dict[str, ColdHost] = {}  # read, of hosts that no list has named yet
+        self._unlisted: dict[str, RecoveringHost] = {}  # read, of hosts that no list has named yet
         self._written_at = 0  # of the file, when it was read last
         self._read_at = 0  # the file's time of change when it was read or written last
-        self._written = facade.cold_changes
+        self._written = engine.recovering_changes
         self._timer: asyncio.TimerHandle | None = None
 
     def read(self) -> None:
@@ -129,7 +131,7 @@
         self._log.say(f"cold-hosts-read hosts={len(hosts)}")
         self._unlisted |= {host.host.decode(): host for host in hosts[-HOSTS_MOST:]}
         self.bind(list(self._unlisted))
-        if not {host.host for host in self._facade.cold_hosts()} <= {host.host for host in hosts}:
+        if not {host.host for host in self._engine.list_recovering_hosts()} <= {host.host for host in hosts}:
             self._write_later(WRITE_AFTER)  # the process beside this one knew less
         self._wake()
 
@@ -141,7 +143,7 @@
         now = clock.steady()
         for name in hosts:
             cold = self._unlisted.get(name)
-            if cold and self._facade.cold_told(now, cold):
+            if cold and self._engine.restore_host(now, cold):
                 del self._unlisted[name]
 
     def missed(self, failed_at: int) -> bool:
@@ -153,7 +155,7 @@
 
     def note_changes(self) -> None:
         """After each turn: what has changed is written soon."""
-        if self._facade.cold_changes != self._written:
+        if self._engine.recovering_changes != self._written:
             self._write_later(WRITE_AFTER)
 
     def close(self) -> None:
@@ -168,8 +170,8 @@
 
     def _write(self) -> None:
         self._timer = None
-        changes = self._facade.cold_changes
-        hosts = [*self._unlisted.values(), *self._facade.cold_hosts()]
+        changes = self._engine.recovering_changes
+        hosts = [*self._unlisted.values(), *self._engine.list_recovering_hosts()]
         try:
             self._fresh.write_bytes(encode_cold_hosts(hosts, self._boot, clock.steady()))
             os.replace(self._fresh, self._path)
--- a/millweir/net/config.py
+++ b/millweir/net/config.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from millweir.interface import Limits, Settings
-from millweir.settings import check_again, read_settings
+from millweir.settings import parse_settings, validate_reloaded_settings
 
 MEGABYTE = 1 << 20
 
@@ -85,7 +85,7 @@
         raise Misconfigured(f"RELAY_STATE {state} is no folder that can be written to")
     try:
         if start is not None:
-            check_again(given.get("settings"), start.given)
+            validate_reloaded_settings(given.get("settings"), start.given)
         limits, known = given.get("limits") or {}, given.get("known") or {}
         told = environ.get("RELAY_DISCOVERY")
         discovery = given.get("discovery") or told if again else told or given.get("discovery")
@@ -108,7 +108,7 @@
                 int(limits.get("memory_mb", 64) * MEGABYTE),
             ),
             known=known,
-            settings=read_settings(given["settings"]),
+            settings=parse_settings(given["settings"]),
             given=given["settings"],
         )
     except (KeyError, TypeError, ValueError, AttributeError) as fault:
--- a/millweir/net/cordons.py
+++ b/millweir/net/cordons.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import Any
 
-from millweir.facade import Facade
+from millweir.facade import DecisionEngine
 from millweir.net import clock
 from millweir.net.log import Log
 from millweir.net.times import Unreadable, read_times, write_times
@@ -17,10 +17,10 @@
 class Cordons:
     """The cordoned hosts: host to when it was put out, in wall time (nanoseconds)."""
 
-    __slots__ = ("_facade", "_log", "_path", "_read_at", "_since", "_wake")
+    __slots__ = ("_engine", "_log", "_path", "_read_at", "_since", "_wake")
 
-    def __init__(self, folder: Path, facade: Facade[Any], wake: Callable[[], None], log: Log) -> None:
-        self._path, self._facade, self._wake, self._log = folder / FILE, facade, wake, log
+    def __init__(self, folder: Path, engine: DecisionEngine[Any], wake: Callable[[], None], log: Log) -> None:
+        self._path, self._engine, self._wake, self._log = folder / FILE, engine, wake, log
         self._since: dict[str, int] = {}
         self._read_at = 0  # the file's time of change when it was read last
 
@@ -38,7 +38,7 @@
             self._log.must(f"cordons-unreadable {str(fault)[:200]}")
             return
         for host in self._since.keys() - since.keys():  # let back by the process beside this one
-            self._facade.cordon(clock.steady(), host.encode(), False)
+            self._engine.set_cordon(clock.steady(), host.encode(), False)
         self._since = since
         self.bind(since)
         self._wake()
@@ -50,12 +50,14 @@
         """
         for host in hosts:
             if host in self._since:
-                self._facade.cordon(clock.steady(), host.encode(), True, clock.from_wall(self._since[host]))
+                self._engine.set_cordon(
+                    clock.steady(), host.encode(), True, clock.from_wall(self._since[host])
+                )
 
     def change(self, host: bytes, out: bool) -> str:
         """By hand: the host out or back.  Written before it is answered; '' or why it can't be done."""
         now, name = clock.steady(), host.decode()
-        if not self._facade.cordon(now, host, out):
+        if not self._engine.set_cordon(now, host, out):
             return f"no host {name[:80]} was ever listed"
         if out == (name in self._since):
             return ""  # a repeat changes nothing
--- a/millweir/net/desk.py
+++ b/millweir/net/desk.py
@@ -9,7 +9,7 @@
 from dataclasses import replace
 from typing import Any
 
-from millweir.facade import Ending, Facade, Part
+from millweir.facade import DecisionEngine, Part, UndeliveredPacket
 from millweir.interface import MILLISECOND, Change, Outcome, Phase
 from millweir.net import clock
 from millweir.net.clients import ClientLink, ClientListener
@@ -37,42 +37,42 @@
         self,
         loop: asyncio.AbstractEventLoop,
         config: Config,
-        facade: Facade[OwedMessage],
+        engine: DecisionEngine[OwedMessage],
         journal: Journal,
         log: Log,
         counters: Counters,
     ) -> None:
-        settings, bounds = config.settings, facade.bounds
-        self._loop, self._facade, self._journal = loop, facade, journal
+        settings, bounds = config.settings, engine.bounds
+        self._loop, self._engine, self._journal = loop, engine, journal
         self._log, self._counters, self._bounds = log, counters, bounds
-        self._classes = ServiceClasses(settings, facade)
+        self._classes = ServiceClasses(settings, engine)
         self._tenants = {tenant.name.encode(): at for at, tenant in enumerate(settings.tenants)}
         self._reports = settings.reports
         self._discovery = config.discovery
         self._owed: dict[bytes, OwedMessage] = {}
         self._backlog: deque[OwedMessage] = deque()  # owed, and not handed in yet; in the order taken
-        self._ended = EndedIds(bounds.ids_known)
+        self._ended = EndedIds(bounds.max_ended_ids)
         self._scheduled = self._listed = self._leaving = self._lingered = self._quiet = False
         self._replies = Replies()
-        self._cordons = Cordons(config.state, facade, self.wake, log)
-        self._cold_hosts = KnownColdHosts(loop, journal.folder, journal.slot, facade, self.wake, log)
-        self._waits = SharedWaits(loop, journal.folder, journal.slot, facade, self.wake, log)
+        self._cordons = Cordons(config.state, engine, self.wake, log)
+        self._cold_hosts = KnownColdHosts(loop, journal.folder, journal.slot, engine, self.wake, log)
+        self._waits = SharedWaits(loop, journal.folder, journal.slot, engine, self.wake, log)
         self.reloads = [0, 0]  # taken, turned down
         self._alarm: asyncio.TimerHandle | None = None
         self._alarm_at = 0
-        self._pulse = LoopPulse(loop, bounds.doubtful // 2)
-        self._lag = LoopLag(bounds.lag_kept, clock.steady())
+        self._pulse = LoopPulse(loop, bounds.client_grace_ns // 2)
+        self._lag = LoopLag(bounds.lag_window_ns, clock.steady())
         self.stopped = loop.create_future()
         self.clients = ClientListener(loop, bounds, self.wake, log, counters)
         self._hosts = Hosts(
-            loop, bounds, settings.connect_timeout, journal, facade.still, self._report, log, counters
+            loop, bounds, settings.connect_timeout, journal, engine.may_write, self._report, log, counters
         )
         self._notices = Notices(loop, config.discovery, bounds, self._over, log, counters)
         self._known_list = self._read_known(config)  # None once calls may go out
         if self._known_list:
             leaving = [replace(entry, phase=Phase.DRAINING) for entry in self._known_list.entries]
             self._list(Change.CACHED, replace(self._known_list, entries=tuple(leaving)))
-            loop.call_later(bounds.opening / 1e9, clock.once_read, loop, self._open)
+            loop.call_later(bounds.startup_list_wait_ns / 1e9, clock.once_read, loop, self._open)
         self._cordons.read()
         self._cold_hosts.read()  # before the waits: what is restored says how calls spread behind these
         for message in list(journal.owed.values()):
@@ -81,7 +81,7 @@
         self._waits.start()
         index = self._known_list.index if self._known_list else -1
         self._watch = Watch(
-            loop, config.discovery, settings, bounds, index, self._told, facade.rest, log, counters
+            loop, config.discovery, settings, bounds, index, self._told, engine.draw_back_off, log, counters
         )
         self.wake()
 
@@ -104,7 +104,7 @@
             self._list(Change.CACHED, known)
 
     def _adopt_later(self) -> None:
-        self._loop.call_later(self._bounds.doubtful / 1e9, self._adopt)
+        self._loop.call_later(self._bounds.client_grace_ns / 1e9, self._adopt)
 
     def _adopt(self) -> None:
         """A process beside this one has ended: what it still owed is owed here (an upgrade, rule 1)."""
@@ -128,7 +128,7 @@
 
     def figures(self) -> dict[str, Any]:
         """What the second address tells: counts since this process began, and what is so now."""
-        targets, disabled = self._facade.targets()
+        targets, disabled = self._engine.count_hosts()
         counts = self._counters.counts
         return {
             "replies": self._replies.figures(),
@@ -150,7 +150,7 @@
             self._log.must("quiesce")
         self._quiet = True
         self.clients.closing = True
-        self._loop.call_later(self._bounds.doubtful / 1e9, self._close_idle)
+        self._loop.call_later(self._bounds.client_grace_ns / 1e9, self._close_idle)
 
     def _close_idle(self) -> None:
         if self._quiet:
@@ -182,7 +182,7 @@
         gone = news.gone if change is Change.DELTA else self._hosts.all_but(news.addresses)
         self._hosts.listed(news.addresses, gone)
         now = clock.steady()
-        self._facade.told(now, change, news.entries, self._pulse.came_at(now))
+        self._engine.update_hosts(now, change, news.entries, self._pulse.came_at(now))
         self._cordons.bind(news.addresses)
         self._cold_hosts.bind(news.addresses)
         self._waits.bind(news.addresses)
@@ -208,7 +208,7 @@
         Guards a start on a short processor: with thousands of packets owed, clients and discovery are heard
         between the parts.
         """
-        for _ in range(min(len(self._backlog), self._bounds.turn_reads)):
+        for _ in range(min(len(self._backlog), self._bounds.max_requests_per_turn)):
             self._hand_in(self._backlog.popleft())
         if self._backlog:
             self.wake()
@@ -223,7 +223,7 @@
         tenant, now = self._tenants.get(message.account, len(self._tenants)), clock.to_wall(clock.steady())
         # Guards rule 2 where the wall clock was set back: a trip out at a time to come may be of any age.
         trips = tuple((clock.from_wall(at if at <= now else 0), bool(void)) for at, void in message.trips)
-        self._facade.take(
+        self._engine.add_packet(
             clock.steady(),
             message,
             self._classes.number(message.profile),
@@ -236,7 +236,7 @@
         )
         failed_at = max((at for at, void in trips if void), default=0) if message.restored else 0
         if failed_at and self._cold_hosts.missed(failed_at):
-            self._facade.earlier_failure(clock.steady(), message.destination, failed_at)
+            self._engine.report_earlier_failure(clock.steady(), message.destination, failed_at)
 
     def wake(self) -> None:
         """Have a turn once all that has come in by now is read."""
@@ -252,7 +252,7 @@
         except Exception:  # one bad packet must not end the service for the others
             self._counters.add("faults")
             self._log.must(f"fault {traceback.format_exc()!r}")
-            self._loop.call_later(self._bounds.resend / 1e9, self.wake)
+            self._loop.call_later(self._bounds.retry_interval_ns / 1e9, self.wake)
         now = clock.steady()
         self._lag.note(now, now - began)  # what came meanwhile is not read yet
 
@@ -264,7 +264,7 @@
 
     def _work(self) -> None:
         """What is due goes first; how much of what has come in and goes out it may wait for is bounded."""
-        for _ in range(min(len(self.clients.arrived), self._bounds.turn_reads)):
+        for _ in range(min(len(self.clients.arrived), self._bounds.max_requests_per_turn)):
             link, request = self.clients.arrived.popleft()
             try:
                 self._answer(link, request)
@@ -272,21 +272,21 @@
                 link.end("fault")
                 raise
         self._work_off_backlog()
-        due = self._facade.tick(clock.steady())
-        while ending := self._facade.ended():
+        due = self._engine.tick(clock.steady())
+        while ending := self._engine.pop_ended():
             self._give_up(ending)
         self._notices.send()
-        while part := self._facade.dropped():
+        while part := self._engine.pop_cancelled():
             self._hosts.drop(part)
-        while change := self._facade.transition():
+        while change := self._engine.pop_transition():
             self._log.say(
                 f"host-state peer={change.host.decode()} state={change.state.value} "
                 f"cause={change.cause!r} pace={change.slow_start_rate:.4f}"
             )
-        while name := self._facade.freed():
+        while name := self._engine.pop_idle_host():
             self._hosts.free(name)
-        for _ in range(self._bounds.turn_calls):
-            if not (job := self._facade.pick()):
+        for _ in range(self._bounds.max_calls_per_turn):
+            if not (job := self._engine.pop_job()):
                 break
             self._hosts.start(job)
         else:
@@ -353,7 +353,7 @@
             clock.to_wall(stop),
             request.body,
         )
-        wait = self._facade.refusal(
+        wait = self._engine.check_admission(
             message.destination, message.size, self._room, stop - now, self._lag.at(now)
         )
         if not wait:
@@ -361,12 +361,12 @@
                 self._journal.taken(message)
             except OSError as fault:
                 self._log.say(f"journal-failed taken {fault}")
-                wait = self._facade.refusal(message.destination, 1, 0, stop - now, 0)
+                wait = self._engine.check_admission(message.destination, 1, 0, stop - now, 0)
         if wait:
             self._counters.add("packets_refused")
             self._log.say(
                 f"message-refused id={message.id.decode()} destination={message.destination} "
-                f"reason={self._facade.refused_for.value}"
+                f"reason={self._engine.refusal_reason.value}"
             )
             self._replies.add(message.profile, Reply.OVERLOAD)
             link.answer(request, 503, wait=wait, keep=not self._leaving)
@@ -390,14 +390,14 @@
             reply = Reply.SUCCESS if outcome is Outcome.FULFILLED else Reply.ERROR
             self._replies.add(part.item.profile, reply)
             self._over(part.item)
-        self._facade.report(clock.steady(), part, outcome, finished, wait, self._read_load(load))
+        self._engine.report_outcome(clock.steady(), part, outcome, finished, wait, self._read_load(load))
         if outcome is not Outcome.FULFILLED:
             self._log_failure(part, outcome, finished, wait)
         self.wake()
 
     def _log_failure(self, part: Part[OwedMessage], outcome: Outcome, finished: bool, wait: int) -> None:
         """One attempt that went wrong, and what is believed of its host with that."""
-        view = self._facade.host_view(part.job.host.encode())
+        view = self._engine.view_host(part.job.host.encode())
         believed = ""
         if view:
             well = (clock.steady() - view.last_success_at) // MILLISECOND if view.last_success_at else -1
@@ -416,8 +416,8 @@
         except (ValueError, KeyError):
             return ()
 
-    def _give_up(self, ending: Ending[OwedMessage]) -> None:
-        message, again, wait = ending.item, ending.again, ending.wait
+    def _give_up(self, ending: UndeliveredPacket[OwedMessage]) -> None:
+        message, again, wait = ending.item, ending.again, ending.retry_after
         left = (message.hard_stop - clock.to_wall(clock.steady())) // MILLISECOND
         self._log.say(
             f"message-ended id={message.id.decode()} end={'bounced' if again else 'dead'} "
@@ -449,10 +449,12 @@
             return
         self._leaving = True
         self._log.must(f"leaving owed={len(self._journal.owed)}")
-        self._facade.leave(clock.steady() + self._bounds.leave, self._journal.process_beside())
+        self._engine.begin_shutdown(
+            clock.steady() + self._bounds.shutdown_timeout_ns, self._journal.process_beside()
+        )
         self.clients.close_idle("leaving")
-        self._loop.call_later(self._bounds.linger / 1e9, self._linger_over)
-        self._loop.call_later(self._bounds.leave / 1e9, self.stop)
+        self._loop.call_later(self._bounds.shutdown_linger_ns / 1e9, self._linger_over)
+        self._loop.call_later(self._bounds.shutdown_timeout_ns / 1e9, self.stop)
         self.wake()
 
     def _linger_over(self) -> None:
--- a/millweir/net/discovery.py
+++ b/millweir/net/discovery.py
@@ -79,19 +79,24 @@
     whole course of such a call (patience, half an answer, the pause) lasts no longer than the longest rest.
     """
     if not proven:
-        return Patience(MILLISECOND, bounds.proofs[min(failures, len(bounds.proofs) - 1)])
+        return Patience(
+            MILLISECOND, bounds.probe_timeouts_ns[min(failures, len(bounds.probe_timeouts_ns) - 1)]
+        )
     if not failures and not unread:
-        return Patience(bounds.watch, bounds.silence)
-    on_the_way = bounds.silence - bounds.watch
-    course = bounds.proofs[-1] + bounds.resend + bounds.redial
-    unused_rest = 0 if rested is None else max(0, bounds.rest - max(rested, course))
-    wait = min(bounds.watch, bounds.proofs[-1] - on_the_way + unused_rest)
+        return Patience(bounds.watch_wait_ns, bounds.watch_timeout_ns)
+    on_the_way = bounds.watch_timeout_ns - bounds.watch_wait_ns
+    course = bounds.probe_timeouts_ns[-1] + bounds.retry_interval_ns + bounds.reconnect_delay_ns
+    unused_rest = 0 if rested is None else max(0, bounds.max_discovery_back_off_ns - max(rested, course))
+    wait = min(bounds.watch_wait_ns, bounds.probe_timeouts_ns[-1] - on_the_way + unused_rest)
     return Patience(wait, wait + on_the_way)
 
 
 def pause_after(bounds: Bounds, failures: int, spent: int) -> int:
     """Until a call that got no list is repeated; its own time counts as part of the pause."""
-    return max(bounds.redial, min(bounds.redial << min(failures - 1, 8), bounds.resend) - spent)
+    return max(
+        bounds.reconnect_delay_ns,
+        min(bounds.reconnect_delay_ns << min(failures - 1, 8), bounds.retry_interval_ns) - spent,
+    )
 
 
 def told_within(bounds: Bounds, longest_rest: int, silent_links: int = 0) -> int:
@@ -104,10 +109,14 @@
     longer wait after it share the longest rest, so that such a one costs no more there.
     """
     retry = patience_after(bounds, proven=True, failures=1, unread=False).silence
-    patience = max(retry, *bounds.proofs)
+    patience = max(retry, *bounds.probe_timeouts_ns)
     longest = patience_after(bounds, proven=True, failures=1, unread=False, rested=0).silence
-    under_way = max(longest_rest, bounds.resend, max(patience, longest) + bounds.resend + bounds.redial)
-    return under_way + silent_links * (patience + bounds.redial)
+    under_way = max(
+        longest_rest,
+        bounds.retry_interval_ns,
+        max(patience, longest) + bounds.retry_interval_ns + bounds.reconnect_delay_ns,
+    )
+    return under_way + silent_links * (patience + bounds.reconnect_delay_ns)
 
 
 class Feed:
@@ -131,7 +140,7 @@
         counters: Counters,
     ) -> None:
         self._watch, self._loop = watch, loop
-        more, dial_time = watch.bounds.resend, watch.bounds.proofs[0]
+        more, dial_time = watch.bounds.retry_interval_ns, watch.bounds.probe_timeouts_ns[0]
         self._exchange = Exchange(
             loop, address, "discovery", most, more, dial_time, self._took, log, counters, self._unread
         )
@@ -187,7 +196,7 @@
         log: Log,
         counters: Counters,
     ) -> None:
-        """`rest`: how long until discovery is asked again after so many failures in a row."""
+        """`draw_back_off`: how long until discovery is asked again after so many failures in a row."""
         self._loop, self._settings, self.bounds, self.rest = loop, settings, bounds, rest
         self._index, self._told, self._log, self._counters = index, told, log, counters
         self._feeds: list[Feed] = []  # the one in use first, then the one that is to take its place
@@ -201,7 +210,9 @@
         for feed in self._feeds[1:]:
             feed.close()
         del self._feeds[1:]
-        self._feeds.append(Feed(self, self._loop, address, self.bounds.list_most, self._log, self._counters))
+        self._feeds.append(
+            Feed(self, self._loop, address, self.bounds.max_list_bytes, self._log, self._counters)
+        )
         self._loop.call_soon(self._feeds[-1].ask)
 
     def query(self, wait: int) -> bytes:
--- a/millweir/net/hosts.py
+++ b/millweir/net/hosts.py
@@ -79,7 +79,7 @@
         self.link = link
         self._written = parts
         self._written_at = now
-        until = min(self.job.answer_by, max(part.until for part in parts))
+        until = min(self.job.answer_deadline, max(part.until for part in parts))
         left = max(1, -(-(until - now) // MILLISECOND))
         if len(parts) == 1:
             message = parts[0].item
@@ -102,7 +102,7 @@
             left,
             len(body),
         )
-        link.ask(self, [head, body], hosts.bounds.hold)
+        link.ask(self, [head, body], hosts.bounds.last_byte_hold_ns)
 
     def released(self, link: Link) -> bool:
         """Journal the trips, then let the call go, if all that was written is still to go."""
@@ -188,7 +188,7 @@
         self._hosts.keep(self.pool, link)
         if reader.status == 200 and not self._trips:
             self.all_over(Outcome.CUT_OFF)  # said before the last byte went out: of another call, or of none
-        elif reader.status == 200 and not self.alone and clock.steady() >= self.job.answer_by:
+        elif reader.status == 200 and not self.alone and clock.steady() >= self.job.answer_deadline:
             self.all_over(Outcome.CANCELLED)  # after the time of one of them it counts for none (rule 1)
         elif reader.status == 200 and not self.alone:
             self._read_states(reader.body, reader.wait, reader.load)
@@ -284,7 +284,7 @@
         pool = self._pools.get(job.host) or HostPool(job.host, NOWHERE)
         call = self._calls[job] = Call(self, job, pool)
         call.arm()
-        limit = clock.steady() - self.bounds.link_life
+        limit = clock.steady() - self.bounds.connection_idle_timeout_ns
         while pool.idle:
             link = pool.idle.pop()
             del self._idle[link]
@@ -302,8 +302,8 @@
         link = Link(
             self.loop,
             f"{pool.name}/{pool.address[0]}:{pool.address[1]}",
-            self.bounds.answer_most,
-            self.bounds.answer_time,
+            self.bounds.max_answer_bytes,
+            self.bounds.answer_timeout_ns,
             self.log,
             self.counters,
         )
@@ -344,11 +344,11 @@
         if link.open:
             pool.idle.append(link)
             self._idle[link] = pool
-            self._trim(self.bounds.host_links)
+            self._trim(self.bounds.max_host_connections)
 
     def _make_way(self) -> None:
         """Guards descriptors: idle links, the one idle longest first, make way for calls, but for half."""
-        most = self.bounds.host_links
+        most = self.bounds.max_host_connections
         self._trim(max(most - len(self._calls), most // 2))
 
     def _trim(self, most: int) -> None:
@@ -357,7 +357,7 @@
 
     def sweep(self) -> None:
         """Close links idle for so long that the other end may be about to."""
-        limit = clock.steady() - self.bounds.link_life
+        limit = clock.steady() - self.bounds.connection_idle_timeout_ns
         while self._idle and (oldest := next(iter(self._idle))).idle_since <= limit:
             self._drop(oldest, "idle")
 
--- a/millweir/net/notices.py
+++ b/millweir/net/notices.py
@@ -35,7 +35,7 @@
         self._next: Exchange | None = None  # takes its place once what is out has its answer
         self._waiting: dict[OwedMessage, None] = {}
         self._sent: list[OwedMessage] = []
-        self._most = bounds.notices
+        self._most = bounds.max_notifications_per_request
         self._resting = False
 
     def move(self, address: tuple[str, int]) -> None:
@@ -45,7 +45,7 @@
             self._change_over()
 
     def _to(self, address: tuple[str, int]) -> Exchange:
-        most, more = self._bounds.answer_most, self._bounds.resend
+        most, more = self._bounds.max_answer_bytes, self._bounds.retry_interval_ns
         return Exchange(
             self._loop, address, "notices", most, more, more, self._took, self._log, self._counters
         )
@@ -79,7 +79,7 @@
         body = "".join(lines).encode()
         length = b"Content-Length: %d\r\n\r\n" % len(body)
         head = b"POST /v1/notices HTTP/1.1\r\nHost: %b\r\n%b" % (self._exchange.host, length)
-        self._exchange.ask([head, body], self._bounds.resend)
+        self._exchange.ask([head, body], self._bounds.retry_interval_ns)
 
     def _took(self, reader: AnswerReader | None) -> None:
         sent = self._sent
@@ -87,16 +87,16 @@
         self._change_over()
         if reader is not None and reader.status == 204:
             self._counters.add("notices_sent", len(sent))
-            self._most = self._bounds.notices
+            self._most = self._bounds.max_notifications_per_request
             for message in sent:
                 self._done(message)
         else:
             self._counters.add("notices_failed", len(sent))
             self._log.say(f"notices-failed {len(sent)} status={reader.status if reader else 'none'}")
             self._waiting.update(dict.fromkeys(sent))  # behind the others, lest an unreadable one stop them
-            self._most = 1 if reader else self._bounds.notices
+            self._most = 1 if reader else self._bounds.max_notifications_per_request
             self._resting = True
-            self._loop.call_later(self._bounds.redial / 1e9, self._rested)
+            self._loop.call_later(self._bounds.reconnect_delay_ns / 1e9, self._rested)
             return
         self.send()
 
--- a/millweir/net/retry_after.py
+++ b/millweir/net/retry_after.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any
 
-from millweir.facade import Facade
+from millweir.facade import DecisionEngine
 from millweir.net import clock
 from millweir.net.heads import WAIT_MOST
 from millweir.net.journal import SLOTS, named
@@ -26,20 +26,20 @@
 class SharedWaits:
     """The waits known to this process: host to the end of its wait, in wall time (nanoseconds)."""
 
-    __slots__ = ("_facade", "_folder", "_log", "_loop", "_read_at", "_slot", "_until", "_wake")
+    __slots__ = ("_engine", "_folder", "_log", "_loop", "_read_at", "_slot", "_until", "_wake")
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         folder: Path,
         slot: int,
-        facade: Facade[Any],
+        engine: DecisionEngine[Any],
         wake: Callable[[], None],
         log: Log,
     ) -> None:
         """`slot` is this process's own among those that share the folder; `wake` asks for a turn."""
         self._loop, self._folder, self._slot = loop, folder, slot
-        self._facade, self._wake, self._log = facade, wake, log
+        self._engine, self._wake, self._log = engine, wake, log
         self._until: dict[str, int] = {}
         self._read_at: dict[int, int] = {}  # slot of another process: its file's time of change when read
 
@@ -57,7 +57,7 @@
         for host in hosts:
             until = self._until.get(host, 0)
             if until > wall:
-                self._facade.wait_told(now, host.encode(), clock.from_wall(until))
+                self._engine.apply_retry_after(now, host.encode(), clock.from_wall(until))
 
     def told(self, host: str, wait: int) -> None:
         """A wait of so many nanoseconds was told to this process: written for the others."""
@@ -99,7 +99,7 @@
         for host, until in waits.items():
             if max(wall, self._until.get(host, 0)) < until <= wall + WAIT_MOST:
                 self._until[host] = until
-                self._facade.wait_told(now, host.encode(), clock.from_wall(until))
+                self._engine.apply_retry_after(now, host.encode(), clock.from_wall(until))
                 grown = True
         return grown
 
--- a/millweir/net/service_classes.py
+++ b/millweir/net/service_classes.py
@@ -9,18 +9,18 @@
 from dataclasses import replace
 from typing import Any
 
-from millweir.facade import Facade
+from millweir.facade import DecisionEngine
 from millweir.interface import Settings
-from millweir.settings import unlisted_profile
+from millweir.settings import make_fallback_profile
 
 
 class ServiceClasses:
     """What clients may name in a request, and what an earlier life may have taken a message on under."""
 
-    __slots__ = ("_by_name", "_by_number", "_facade", "_stand_in", "settings")
+    __slots__ = ("_by_name", "_by_number", "_engine", "_stand_in", "settings")
 
-    def __init__(self, settings: Settings, facade: Facade[Any]) -> None:
-        self.settings, self._facade = settings, facade
+    def __init__(self, settings: Settings, engine: DecisionEngine[Any]) -> None:
+        self.settings, self._engine = settings, engine
         self._by_name = {profile.name.encode(): at for at, profile in enumerate(settings.profiles)}
         self._by_number = list(settings.profiles)
         self._stand_in: int | None = None  # number of the class for messages of those listed no more
@@ -38,8 +38,8 @@
         """
         number = self._by_name.get(name, self._stand_in)
         if number is None:
-            stand_in = unlisted_profile(self.settings)
-            number = self._facade.settings_told(replace(self.settings, profiles=(stand_in,)))
+            stand_in = make_fallback_profile(self.settings)
+            number = self._engine.update_settings(replace(self.settings, profiles=(stand_in,)))
             self._by_number.append(stand_in)
             self._stand_in = number
         return number
@@ -48,7 +48,7 @@
         """Use these settings from now on; returns how many classes are new or changed."""
         self.settings = settings
         fresh = [profile for profile in settings.profiles if not self._is_known(profile)]
-        first = self._facade.settings_told(replace(settings, profiles=tuple(fresh)))
+        first = self._engine.update_settings(replace(settings, profiles=tuple(fresh)))
         self._by_number += fresh
         names = [profile.name.encode() for profile in settings.profiles]
         kept = {name: self._by_name[name] for name in names if name in self._by_name}
--- a/millweir/order.py
+++ b/millweir/order.py
@@ -1,8 +1,9 @@
-"""The order of held packets: which of them lose most by waiting, and which is worth least.
+"""Queues of held packets: finds those that lose most value by waiting, and the one that is worth least.
 
-How a packet's worth falls with its lateness depends on its profile alone; so packets of one profile and
-weight lie in one line, by when they were wanted.  A curve is cut into pieces in which the loss only rises or
-only falls: the best of a piece stands at one of its ends, so each line is asked at a few places.
+How a packet's value falls with its lateness depends on its profile alone, so packets of one profile and
+weight share a queue, sorted by the time by which they are wanted.  The value curve is cut into pieces in
+which the loss only rises or only falls: the packets that lose most within a piece stand at one of its ends,
+so a search looks at a few places of each queue.
 """
 
 from collections import defaultdict
@@ -16,71 +17,82 @@
 from millweir.records import NEVER, Packet
 
 
-class Curve:
-    """What waiting costs a packet of a profile, as a part of its gain, by how late it is (nanoseconds)."""
+class ValueCurve:
+    """What a delay costs a packet, as a fraction of its value, by its lateness in nanoseconds."""
 
     def __init__(self, profile: Profile, span: int, halves: bool) -> None:
-        """`span`: the wait that is weighed; `halves`: worth halves with each quoted time."""
-        self.kinds, self.bears_trials = profile.kinds, profile.effect is not Effect.SINGLE_USE
-        self.worth, self._span = partial(profile.worth, halves), span
-        starts = sorted({-NEVER, NEVER, *(turn - at for turn in profile.turns(halves) for at in (0, span))})
+        """`span`: the delay that is weighed; `halves`: value halves with each target latency that passes."""
+        self.kinds, self.allows_trials = profile.kinds, profile.effect is not Effect.NON_IDEMPOTENT
+        self.value_fraction, self._span = partial(profile.value_fraction, halves), span
+        starts = sorted(
+            {-NEVER, NEVER, *(point - at for point in profile.breakpoints(halves) for at in (0, span))}
+        )
         # Each piece: its first and last lateness, and whether the latest packet in it loses most.
         self._pieces = [
             (first, after - 1, self.loss(after - 1) >= self.loss(first)) for first, after in pairwise(starts)
         ]
 
     def loss(self, late: int) -> float:
-        """A little more than nothing at least, so that the greater gain goes first."""
-        return self.worth(late) - self.worth(late + self._span) + 0.001
+        """The fraction lost within the span; always above 0, so that the more valuable packet goes first."""
+        return self.value_fraction(late) - self.value_fraction(late + self._span) + 0.001
 
-    def best(self, line: SortedList, at: int, most: int) -> list[Packet]:
-        """All in the line that may be among those that lose most by waiting past that time."""
-        found, latest, least = [], at - line[0][0], at - line[-1][0]  # the latest stands in front
+    def find_candidates(self, queue: SortedList, at: int, most: int) -> list[Packet]:
+        """All packets of the queue that may be among the `most` that lose most by waiting past that time."""
+        found, latest, least = [], at - queue[0][0], at - queue[-1][0]  # the latest packet stands in front
         for first, last, rising in self._pieces:
             if first <= latest and last >= least:
-                low = line.bisect_left((at - last,)) if last < latest else 0
-                high = line.bisect_left((at - first + 1,)) if first > least else len(line)
+                low = queue.bisect_left((at - last,)) if last < latest else 0
+                high = queue.bisect_left((at - first + 1,)) if first > least else len(queue)
                 places = range(low, high) if rising else range(high - 1, low - 1, -1)
-                found += [line[place][2] for place in places[:most]]
+                found += [queue[place][2] for place in places[:most]]
         return found
 
 
-class Order:
-    """Lines of packets side by side: one for each curve, weight and zone, and for what can only go alone."""
+class PacketQueues:
+    """Held packets in one queue per curve, weight and zone, with queues of their own for those sent alone."""
 
-    __slots__ = ("_lines",)
+    __slots__ = ("_queues",)
 
     def __init__(self) -> None:
-        self._lines: defaultdict[tuple, SortedList] = defaultdict(SortedList)
+        self._queues: defaultdict[tuple, SortedList] = defaultdict(SortedList)
 
-    def _line(self, packet: Packet, weight: float) -> SortedList:
-        return self._lines[packet.curve, weight, packet.travels_alone, packet.bound_zone, packet.on_last_trip]
+    def _queue(self, packet: Packet, weight: float) -> SortedList:
+        return self._queues[
+            packet.curve, weight, packet.travels_alone, packet.bound_zone, packet.on_last_trip
+        ]
 
     def add(self, packet: Packet, weight: float) -> None:
-        self._line(packet, weight).add((packet.target_at, packet.sequence_number, packet))
+        self._queue(packet, weight).add((packet.target_at, packet.sequence_number, packet))
 
     def remove(self, packet: Packet, weight: float) -> None:
-        self._line(packet, weight).remove((packet.target_at, packet.sequence_number, packet))
+        self._queue(packet, weight).remove((packet.target_at, packet.sequence_number, packet))
 
-    def best(self, at: int, most: int, trial: bool, zones: set[int], kind: int) -> list[tuple[float, Packet]]:
-        """Those that may go there and lose most by waiting past that time; what bears no trial goes last."""
+    def select_most_urgent(
+        self, at: int, most: int, trial: bool, zones: set[int], kind: int
+    ) -> list[tuple[float, Packet]]:
+        """The packets for one call: those that may go there and lose most by waiting past that time.
+
+        In a trial call, packets that allow no trials come last.
+        """
         found = []
-        for (curve, weight, _, bound, last), line in self._lines.items():
+        for (curve, weight, _, bound, last), queue in self._queues.items():
             if bound is not None and bound not in zones or curve.kinds and kind not in curve.kinds:
                 continue
-            bears = curve.bears_trials and not last or not trial
-            for packet in curve.best(line, at, most) if line else ():
-                loss = weight * curve.loss(at - packet.target_at) if bears else 0.0001 / (1 + weight)
+            allowed = curve.allows_trials and not last or not trial
+            for packet in curve.find_candidates(queue, at, most) if queue else ():
+                loss = weight * curve.loss(at - packet.target_at) if allowed else 0.0001 / (1 + weight)
                 found.append((loss, packet))
         found.sort(key=itemgetter(0), reverse=True)
-        alike = [p for p in found if not p[1].travels_alone and p[1].bound_zone == found[0][1].bound_zone]
-        return found[:1] if found and found[0][1].travels_alone else alike[:most]
+        compatible = [
+            p for p in found if not p[1].travels_alone and p[1].bound_zone == found[0][1].bound_zone
+        ]
+        return found[:1] if found and found[0][1].travels_alone else compatible[:most]
 
-    def least(self, at: int) -> Packet | None:
-        """The packet that is worth least when fulfilled at that time: in each line the latest."""
+    def least_valuable(self, at: int) -> Packet | None:
+        """The packet that is worth least when delivered at that time: in each queue the latest one."""
         heads = (
-            (weight * curve.worth(at - line[0][0]), line[0][2])
-            for (curve, weight, *_), line in self._lines.items()
-            if line
+            (weight * curve.value_fraction(at - queue[0][0]), queue[0][2])
+            for (curve, weight, *_), queue in self._queues.items()
+            if queue
         )
         return min(heads, key=itemgetter(0), default=(0, None))[1]
--- a/millweir/records.py
+++ b/millweir/records.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from millweir.events import EndReason
     from millweir.interface import Entry, Profile
-    from millweir.order import Curve, Order
+    from millweir.order import PacketQueues, ValueCurve
 
 
 NEVER = 1 << 62
@@ -161,7 +161,7 @@
         "evaluated_at",
     )
 
-    def __init__(self, order: Order) -> None:
+    def __init__(self, order: PacketQueues) -> None:
         self.hosts: dict[Host, None] = {}  # those in the list
         self.order = order  # held packets that may be sent once a host has room
         self.held = 0  # number of held packets
@@ -288,7 +288,7 @@
         ident: int,
         sequence_number: int,
         profile: Profile,
-        curve: Curve,
+        curve: ValueCurve,
         destination: Destination,
         deadline: int,
     ) -> None:
@@ -298,7 +298,9 @@
         self.curve = curve
         self.destination = destination
         self.deadline = deadline
-        self.target_at = deadline - profile.give_up + profile.quoted  # the deadline for its full value
+        self.target_at = (
+            deadline - profile.lifetime + profile.target_latency
+        )  # the deadline for its full value
         self.value = 0.0
         self.restored = False  # accepted before the restart
         self.key: OrderingKey | None = None
--- a/millweir/settings.py
+++ b/millweir/settings.py
@@ -1,4 +1,4 @@
-"""Read the settings object into Settings; unknown keys are skipped, absent ones are neutral."""
+"""Parses and validates the settings: unknown keys are ignored, absent ones get neutral defaults."""
 
 from __future__ import annotations
 
@@ -7,11 +7,15 @@
 
 from millweir.interface import Effect, Profile, Settings, Tenant
 
-EFFECTS = {"pure": Effect.REPLAYABLE, "token": Effect.REFERENCED, "side_effect": Effect.SINGLE_USE}
+EFFECT_BY_SEMANTICS = {
+    "pure": Effect.IDEMPOTENT,
+    "token": Effect.IDEMPOTENT_BY_KEY,
+    "side_effect": Effect.NON_IDEMPOTENT,
+}
 
 
-def read_settings(given: dict[str, Any]) -> Settings:
-    """Turn the settings object, as decoded from JSON, into Settings."""
+def parse_settings(given: dict[str, Any]) -> Settings:
+    """Convert the settings object, as decoded from JSON, into Settings."""
     ceilings = given.get("ceilings") or {}
     family = given.get("family-info") or {}
     rules = given.get("obligations") or {}
@@ -21,12 +25,12 @@
         Profile(
             name=grade.get("name", ""),
             value=grade.get("credit", 1.0),
-            quoted=grade["objective-us"] * 1000,
-            give_up=grade["give-up-us"] * 1000,
-            late_share=grade.get("late-share", 0.0),
-            effect=EFFECTS[grade.get("semantics", "side_effect")],
-            repeat_known=(grade.get("dedup-window-us") or 0) * 1000,
-            repeat_known_by_zone=grade.get("key-scope", "all") != "all",
+            target_latency=grade["objective-us"] * 1000,
+            lifetime=grade["give-up-us"] * 1000,
+            value_floor=grade.get("late-share", 0.0),
+            effect=EFFECT_BY_SEMANTICS[grade.get("semantics", "side_effect")],
+            dedup_window=(grade.get("dedup-window-us") or 0) * 1000,
+            dedup_per_zone=grade.get("key-scope", "all") != "all",
             in_order=bool(grade.get("one-at-a-time", False)),
             kinds=frozenset(skus.index(kind) if kind in skus else -1 for kind in grade.get("kinds") or ()),
         )
@@ -72,51 +76,51 @@
     )
 
 
-def unlisted_profile(settings: Settings) -> Profile:
-    """What stands in for a profile that the settings list no more: as little of it is held safe as can be."""
+def make_fallback_profile(settings: Settings) -> Profile:
+    """The profile for packets whose own is no longer in the settings, with the most cautious assumptions."""
     return Profile(
         name="",
         value=min(p.value for p in settings.profiles),
-        quoted=max(p.quoted for p in settings.profiles),
-        give_up=max(p.give_up for p in settings.profiles),
-        late_share=0.0,
-        effect=Effect.SINGLE_USE,
-        repeat_known=0,
-        repeat_known_by_zone=False,
+        target_latency=max(p.target_latency for p in settings.profiles),
+        lifetime=max(p.lifetime for p in settings.profiles),
+        value_floor=0.0,
+        effect=Effect.NON_IDEMPOTENT,
+        dedup_window=0,
+        dedup_per_zone=False,
         in_order=True,
     )
 
 
-def _positive(value: Any) -> bool:
-    number = isinstance(value, int | float) and not isinstance(value, bool)
-    return number and math.isfinite(value) and value > 0
+def _is_positive_number(value: Any) -> bool:
+    is_number = isinstance(value, int | float) and not isinstance(value, bool)
+    return is_number and math.isfinite(value) and value > 0
 
 
-def check_again(given: Any, start: dict[str, Any]) -> None:
-    """Settings read at SIGHUP are taken whole or not at all; ValueError says why they are turned down.
+def validate_reloaded_settings(given: Any, start: dict[str, Any]) -> None:
+    """Validate settings read at SIGHUP, which are applied whole or not at all.
 
-    Turned down: no object or an empty one; a key that the settings at start had, at the top or one level
-    down, missing; no profiles (`grades`), or one without a key that every profile at start had; a hard
-    stop, quoted time or number of trips that is no number above 0.
+    Raises ValueError if they are not an object or empty; if a key that the settings at start had, at the top
+    or one level down, is missing; if there are no profiles (`grades`), or one lacks a key that every profile
+    at start had; if a lifetime, target latency or number of trips is not a number above 0.
     """
     if not isinstance(given, dict) or not given:
-        raise ValueError("the settings are empty")
+        raise ValueError("the settings are empty or not an object")
     for key, value in start.items():
         if key not in given:
-            raise ValueError(f"the settings lack {key!r}")
+            raise ValueError(f"missing key {key!r}")
         for inner in value if isinstance(value, dict) else ():
             if not isinstance(given[key], dict) or inner not in given[key]:
-                raise ValueError(f"the settings lack {key}.{inner}")
+                raise ValueError(f"missing key {key}.{inner}")
     grades, ceilings = given.get("grades"), given.get("ceilings") or {}
     if not isinstance(grades, list) or not grades or not all(isinstance(grade, dict) for grade in grades):
-        raise ValueError("the settings name no profiles")
+        raise ValueError("the settings have no profiles (grades)")
     needed = set.intersection(*(set(grade) for grade in start.get("grades") or [{}]))
     for grade in grades:
         if missing := needed - grade.keys():
-            raise ValueError(f"profile {grade.get('name')!r} lacks {sorted(missing)}")
+            raise ValueError(f"profile {grade.get('name')!r}: missing keys {sorted(missing)}")
         for key in ("objective-us", "give-up-us"):
-            if not _positive(grade.get(key)):
+            if not _is_positive_number(grade.get(key)):
                 raise ValueError(f"profile {grade.get('name')!r}: {key} is no number above 0")
     trips = ceilings.get("max-attempts", 1) if isinstance(ceilings, dict) else None
-    if not _positive(trips):
+    if not _is_positive_number(trips):
         raise ValueError("ceilings.max-attempts is no number above 0")
--- a/tests/net/agent.py
+++ b/tests/net/agent.py
@@ -108,9 +108,9 @@
         base = bounds(SETTINGS, LIMITS)
         self.bounds = replace(
             base,
-            watch=watch * MILLISECOND,
-            silence=silence * MILLISECOND,
-            proofs=tuple(proof * MILLISECOND for proof in proofs),
+            watch_wait_ns=watch * MILLISECOND,
+            watch_timeout_ns=silence * MILLISECOND,
+            probe_timeouts_ns=tuple(proof * MILLISECOND for proof in proofs),
             **given,
         )
         self.told, self.lines, self.rests = [], [], list(rests)
--- a/tests/net/inside.py
+++ b/tests/net/inside.py
@@ -157,7 +157,7 @@
         )
         given = self.bounds
 
-        class Facade(main.Facade):
+        class DecisionEngine(main.DecisionEngine):
             def __init__(self, *args):
                 super().__init__(*args)
                 self.bounds = replace(self.bounds, **given)
@@ -167,7 +167,7 @@
                 self.desk = desk
                 super().__init__(*args)
 
-        self.patch.setattr(main, "Facade", Facade)
+        self.patch.setattr(main, "DecisionEngine", DecisionEngine)
         self.patch.setattr(main, "Desk", Desk)
         self.over = asyncio.get_running_loop().create_task(self._live(config))
         await self.until(lambda: self.desk and self.desk.healthy() and self.listens())
--- a/tests/net/test_calls.py
+++ b/tests/net/test_calls.py
@@ -42,7 +42,7 @@
     async def steps(relay):
         gate = await dialled(relay, "late")
         over = time.monotonic() + 0.4
-        relay.desk._facade.wait_told(clock.steady(), b"h0", clock.steady() + 400 * MILLISECOND)
+        relay.desk._engine.apply_retry_after(clock.steady(), b"h0", clock.steady() + 400 * MILLISECOND)
         gate.open.set()
         await relay.until(lambda: platform.sent("late"))
         assert platform.sent("late")[0].at >= over and len(platform.calls) == 1 and not platform.notifications
@@ -56,7 +56,7 @@
     async def steps(relay):
         gate = await dialled(relay, "late")
         platform.add("h0", status="DRAINING")
-        await relay.until(lambda: relay.desk._facade._relay._hosts[b"h0"].drain_started_at)
+        await relay.until(lambda: relay.desk._engine._relay._hosts[b"h0"].drain_started_at)
         jump(monkeypatch, SECOND)  # the drain's grace is over
         gate.open.set()
         platform.add("h1")
@@ -124,12 +124,12 @@
         await handed_in(relay, *idents, profile="again")
         await held_back(relay)
         over = time.monotonic() + 0.5
-        relay.desk._facade.wait_told(clock.steady(), b"h0", clock.steady() + SECOND // 2)
+        relay.desk._engine.apply_retry_after(clock.steady(), b"h0", clock.steady() + SECOND // 2)
         await relay.until(lambda: not relay.desk._journal.owed)
         assert sorted(row["id"] for call in platform.calls for row in call.rows) == idents
         assert all(call.at >= over for call in platform.calls) and not platform.notifications
 
-    play(platform, tmp_path, monkeypatch, steps, hold=QUICK)
+    play(platform, tmp_path, monkeypatch, steps, last_byte_hold_ns=QUICK)
 
 
 def test_a_host_that_left_while_the_last_byte_is_held_does_not_get_it(tmp_path, monkeypatch):
@@ -139,13 +139,13 @@
         await handed_in(relay, "held")
         await held_back(relay)
         platform.add("h0", status="DRAINING")
-        await relay.until(lambda: relay.desk._facade._relay._hosts[b"h0"].drain_started_at)
+        await relay.until(lambda: relay.desk._engine._relay._hosts[b"h0"].drain_started_at)
         jump(monkeypatch, SECOND)  # the drain's grace is over
         platform.add("h1")
         await relay.until(lambda: platform.sent("held"))
         assert [call.head["host"] for call in platform.calls] == ["h1"] and not platform.notifications
 
-    play(platform, tmp_path, monkeypatch, steps, hold=QUICK)
+    play(platform, tmp_path, monkeypatch, steps, last_byte_hold_ns=QUICK)
 
 
 def test_a_repeat_that_is_known_no_more_while_its_last_byte_is_held_does_not_go(tmp_path, monkeypatch):
@@ -161,7 +161,7 @@
         await relay.until(lambda: platform.notification_results("marked"))
         assert platform.notification_results("marked") == ["dead"] and len(platform.calls) == 1
 
-    play(platform, tmp_path, monkeypatch, steps, hold=QUICK)
+    play(platform, tmp_path, monkeypatch, steps, last_byte_hold_ns=QUICK)
 
 
 EFFECTS = pytest.mark.parametrize("profile, trips", [("again", 2), ("marked", 2), ("once", 1)])
@@ -231,7 +231,7 @@
         await relay.until(lambda: not relay.desk._journal.owed)
         assert len(platform.sent("early")) == 1 and not platform.notifications
 
-    play(platform, tmp_path, monkeypatch, steps, hold=QUICK)
+    play(platform, tmp_path, monkeypatch, steps, last_byte_hold_ns=QUICK)
 
 
 def test_a_bundle_of_which_one_packet_is_left_when_its_link_comes_up_is_a_call_of_one(tmp_path, monkeypatch):
@@ -240,7 +240,7 @@
     async def steps(relay):
         gate = relay.desk._hosts.loop = Gate(relay.desk._hosts.loop)
         (client,) = await relay.rested()
-        relay.desk._facade.wait_told(clock.steady(), b"h0", clock.steady() + 50 * MILLISECOND)
+        relay.desk._engine.apply_retry_after(clock.steady(), b"h0", clock.steady() + 50 * MILLISECOND)
         client.send(request("stays", "once") + request("ends", "once", left="3000m"))
         assert await client.statuses(2) == [202] * 2
         await relay.until(lambda: gate.waiting)
--- a/tests/net/test_closing.py
+++ b/tests/net/test_closing.py
@@ -58,7 +58,7 @@
         assert (await client.end()).whole and client.answers == [408]
         assert not relay.desk._journal.owed
 
-    play(Platform(hosts=1), tmp_path, monkeypatch, steps, request=SECOND // 10)
+    play(Platform(hosts=1), tmp_path, monkeypatch, steps, request_timeout_ns=SECOND // 10)
 
 
 def test_who_does_not_close_its_end_is_closed_after_a_bounded_while(tmp_path, monkeypatch):
@@ -68,7 +68,7 @@
         await client.end()  # and the client keeps its end open
         await relay.until(lambda: not relay.desk.clients._links)
 
-    play(Platform(hosts=1), tmp_path, monkeypatch, steps, doubtful=SECOND // 5)
+    play(Platform(hosts=1), tmp_path, monkeypatch, steps, client_grace_ns=SECOND // 5)
 
 
 def test_who_goes_on_sending_after_the_end_is_cut_off(tmp_path, monkeypatch):
@@ -81,7 +81,7 @@
             await asyncio.sleep(0.001)
         await relay.until(lambda: not relay.desk.clients._links)
 
-    play(Platform(hosts=1), tmp_path, monkeypatch, steps, doubtful=60 * SECOND)
+    play(Platform(hosts=1), tmp_path, monkeypatch, steps, client_grace_ns=60 * SECOND)
 
 
 def test_a_connection_closed_for_a_newer_one_ends_cleanly(tmp_path, monkeypatch):
@@ -93,7 +93,7 @@
         third.send(ASK + b"\r\n")
         assert await second.statuses(1) == await third.statuses(1) == [200]
 
-    play(Platform(hosts=1), tmp_path, monkeypatch, steps, client_links=2)
+    play(Platform(hosts=1), tmp_path, monkeypatch, steps, max_client_connections=2)
 
 
 def test_ends_that_nobody_completes_do_not_fill_the_descriptors(tmp_path, monkeypatch):
@@ -102,7 +102,9 @@
             await relay.rested()
             assert len(relay.desk.clients._links) <= 11  # the one aborted in this turn is still there
 
-    play(Platform(hosts=1), tmp_path, monkeypatch, steps, client_links=8, doubtful=60 * SECOND)
+    play(
+        Platform(hosts=1), tmp_path, monkeypatch, steps, max_client_connections=8, client_grace_ns=60 * SECOND
+    )
 
 
 @pytest.mark.parametrize("gone", [False, True])
--- a/tests/net/test_cold_hosts.py
+++ b/tests/net/test_cold_hosts.py
@@ -10,7 +10,7 @@
 import pytest
 from rig import Platform, Program, reply, until
 
-from millweir.events import ColdHost
+from millweir.events import RecoveringHost
 from millweir.net import clock, cold_hosts
 from millweir.net.cold_hosts import (
     FILE,
@@ -22,21 +22,21 @@
 )
 from millweir.net.journal import Journal
 
-EJECTED = ColdHost(b"a", seen_at=5, slow_start_rate=0.5, recovered_at=0, limit=0.0)
-IN_SLOW_START = ColdHost(b"b", seen_at=5, slow_start_rate=0.5, recovered_at=7, limit=0.0)
-REFUSED = ColdHost(b"c", seen_at=6, slow_start_rate=0.0, recovered_at=0, limit=1.5)
+EJECTED = RecoveringHost(b"a", last_failure_at=5, slow_start_rate=0.5, recovered_at=0, limit=0.0)
+IN_SLOW_START = RecoveringHost(b"b", last_failure_at=5, slow_start_rate=0.5, recovered_at=7, limit=0.0)
+REFUSED = RecoveringHost(b"c", last_failure_at=6, slow_start_rate=0.0, recovered_at=0, limit=1.5)
 
 
 class Decisions:
     """Stands in for the facade: what is cold, and which hosts are listed."""
 
     def __init__(self, *hosts, listed=()):
-        self.hosts, self.listed, self.told, self.cold_changes = list(hosts), set(listed), [], 0
+        self.hosts, self.listed, self.told, self.recovering_changes = list(hosts), set(listed), [], 0
 
-    def cold_hosts(self):
+    def list_recovering_hosts(self):
         return self.hosts
 
-    def cold_told(self, now, cold):
+    def restore_host(self, now, cold):
         if cold.host not in self.listed:
             return False
         self.told.append(cold)
@@ -58,7 +58,7 @@
     hosts = [EJECTED, IN_SLOW_START, REFUSED]
     raw = encode_cold_hosts(hosts, "this boot", 9)
     assert decode_cold_hosts(raw, "this boot", 99) == ColdHostsFile(9, hosts)
-    as_seen_now = ColdHostsFile(0, [replace(host, seen_at=99, recovered_at=0) for host in hosts])
+    as_seen_now = ColdHostsFile(0, [replace(host, last_failure_at=99, recovered_at=0) for host in hosts])
     for boot, written in (("another", raw), ("", encode_cold_hosts(hosts, "", 9))):
         assert decode_cold_hosts(written, boot, 99) == as_seen_now
 
@@ -107,7 +107,7 @@
         decisions, lines = Decisions(EJECTED), Lines()
         kept = known(tmp_path, decisions, lines=lines)
         kept.note_changes()  # nothing has changed
-        decisions.cold_changes = 1
+        decisions.recovering_changes = 1
         kept.note_changes()
         await asyncio.sleep(0.3)
         return lines
@@ -121,7 +121,7 @@
     async def scene():
         old, new = Decisions(EJECTED), Decisions(REFUSED, listed=[b"a"])
         of_old, of_new = known(tmp_path, old), known(tmp_path, new, slot=1)
-        old.cold_changes = 1
+        old.recovering_changes = 1
         of_old.note_changes()
         of_old.close()
         of_new.read()
@@ -142,7 +142,7 @@
         decisions = Decisions()
         kept = known(tmp_path, decisions)
         kept.read()
-        decisions.cold_changes = 1
+        decisions.recovering_changes = 1
         kept.note_changes()
         kept.close()
         assert b'"a"' in (tmp_path / FILE).read_bytes()
--- a/tests/net/test_descriptors.py
+++ b/tests/net/test_descriptors.py
@@ -40,7 +40,10 @@
 @pytest.mark.parametrize("descriptors", [256, 512, 1024])
 def test_clients_hosts_and_control_leave_what_discovery_notices_and_the_journal_need(descriptors):
     given = bounds(settings(), Limits(descriptors, 1 << 20, 192 << 20))
-    clients, hosts = given.client_links + given.client_links // 4, given.host_links
+    clients, hosts = (
+        given.max_client_connections + given.max_client_connections // 4,
+        given.max_host_connections,
+    )
     assert clients + hosts + LINKS_MOST + KEPT_BACK <= descriptors
 
 
@@ -102,7 +105,7 @@
         await relay.until(lambda: len(platform.calls) == 9 and b"last" not in relay.desk._owed)
         assert len(hosts._idle) == 2  # a call that has ended leaves no more of them
 
-    play(platform, tmp_path, monkeypatch, steps, host_links=4)
+    play(platform, tmp_path, monkeypatch, steps, max_host_connections=4)
 
 
 def test_a_burst_of_connections_holds_no_more_descriptors_at_once_than_the_door_allows(tmp_path, monkeypatch):
@@ -121,7 +124,9 @@
         await relay.until(lambda: relay.desk._counters.counts["clients_opened"] >= before + 120)
         assert len(used) <= 8 + 8 // 4 + 3  # those closed a turn after their end
 
-    play(Platform(hosts=1), tmp_path, monkeypatch, steps, client_links=8, doubtful=60 * SECOND)
+    play(
+        Platform(hosts=1), tmp_path, monkeypatch, steps, max_client_connections=8, client_grace_ns=60 * SECOND
+    )
 
 
 def idle_connections(port, count):
--- a/tests/net/test_ready.py
+++ b/tests/net/test_ready.py
@@ -7,7 +7,7 @@
 import pytest
 from rig import CONFIG, Platform, Program, entry, reply, settings, until
 
-from millweir.facade import Facade
+from millweir.facade import DecisionEngine
 from millweir.interface import SECOND, Change, Limits
 from millweir.net import clock
 from millweir.net.counters import Counters
@@ -40,13 +40,13 @@
 def restored_desk(journal, max_open):
     """A desk without sockets, with all that the journal owes in its backlog."""
     chosen = settings(max_open=max_open)
-    facade = Facade(chosen, Limits(256, 1 << 20, 64 << 20), 1, clock.steady())
-    facade.told(clock.steady(), Change.CACHED, tuple(entry(group, 0) for group in range(10)))
+    engine = DecisionEngine(chosen, Limits(256, 1 << 20, 64 << 20), 1, clock.steady())
+    engine.update_hosts(clock.steady(), Change.CACHED, tuple(entry(group, 0) for group in range(10)))
     desk = Desk.__new__(Desk)
-    desk._facade, desk._bounds, desk._counters = facade, facade.bounds, Counters()
+    desk._engine, desk._bounds, desk._counters = engine, engine.bounds, Counters()
     desk._owed, desk._backlog, desk._scheduled = {}, deque(), True
-    desk._log = Log(facade.bounds.log_lines)
-    desk._classes, desk._tenants = ServiceClasses(chosen, facade), {}
+    desk._log = Log(engine.bounds.max_log_lines_per_second)
+    desk._classes, desk._tenants = ServiceClasses(chosen, engine), {}
     desk._classes._by_name = {b"again": 0}
     for message in journal.owed.values():
         desk._restore(message)
@@ -92,9 +92,9 @@
     leave_owed(tmp_path / "state", 1_000)
     journal = Journal(tmp_path / "state", 1 << 30, 1 << 30, print)
     desk = restored_desk(journal, 0)
-    assert len(desk._owed) == len(desk._backlog) == 1_000 and not desk._facade._relay._packets
+    assert len(desk._owed) == len(desk._backlog) == 1_000 and not desk._engine._relay._packets
     desk._work_off_backlog()
-    assert len(desk._facade._relay._packets) == desk._bounds.turn_reads
+    assert len(desk._engine._relay._packets) == desk._bounds.max_requests_per_turn
     journal.close()
 
 
@@ -154,7 +154,7 @@
         await relay.until(lambda: platform.notifications)
         # A table that the last one fills lets the one worth least go, which was never tried: it may return.
         assert [notice["result"] for notice in platform.notifications] == ["bounced"]
-        assert len(relay.desk._facade._relay._packets) == most - 1
+        assert len(relay.desk._engine._relay._packets) == most - 1
 
     platform = Platform(hosts=1)
     platform.decide = lambda call: None  # all of it stays open
--- a/tests/net/test_repeat_window.py
+++ b/tests/net/test_repeat_window.py
@@ -6,7 +6,7 @@
 import pytest
 from rig import CONFIG, PROFILES, STEP, Platform, entry, settings
 
-from millweir.facade import Facade
+from millweir.facade import DecisionEngine
 from millweir.interface import MILLISECOND, SECOND, Change, Effect, Limits
 from millweir.net import clock
 from millweir.net.counters import Counters
@@ -24,8 +24,8 @@
 WALL_AHEAD = 1_700_000_000 * SECOND
 BOOT = b"b" * 16
 OTHER_BOOT = b"o" * 16
-SETTINGS = settings(profiles=tuple(replace(profile, repeat_known=WINDOW) for profile in PROFILES))
-REFERENCED = next(at for at, profile in enumerate(PROFILES) if profile.effect is Effect.REFERENCED)
+SETTINGS = settings(profiles=tuple(replace(profile, dedup_window=WINDOW) for profile in PROFILES))
+REFERENCED = next(at for at, profile in enumerate(PROFILES) if profile.effect is Effect.IDEMPOTENT_BY_KEY)
 
 
 class Machine:
@@ -56,22 +56,22 @@
     def restart(self, listed=True):
         """The next life, as far as its decisions: the facade with all that the folder held."""
         journal = self.journal()
-        facade = Facade(SETTINGS, Limits(256, 1 << 20, 64 << 20), 1, self.steady)
+        engine = DecisionEngine(SETTINGS, Limits(256, 1 << 20, 64 << 20), 1, self.steady)
         if listed:
             host = replace(entry(0, 0, kind=1), host=b"h0")
-            facade.told(self.steady, Change.CACHED, (host,))
+            engine.update_hosts(self.steady, Change.CACHED, (host,))
         desk = Desk.__new__(Desk)
-        desk._facade, desk._bounds, desk._counters = facade, facade.bounds, Counters()
+        desk._engine, desk._bounds, desk._counters = engine, engine.bounds, Counters()
         desk._owed, desk._backlog = {}, deque()
         desk._log = Log(200)
-        desk._classes, desk._tenants = ServiceClasses(SETTINGS, facade), {}
+        desk._classes, desk._tenants = ServiceClasses(SETTINGS, engine), {}
         desk._classes._by_name = {b"marked": REFERENCED}
         for message in journal.owed.values():
             desk._restore(message)
         desk._work_off_backlog()
         journal.close()
-        facade.tick(self.steady)
-        return facade
+        engine.tick(self.steady)
+        return engine
 
 
 @pytest.fixture
@@ -79,12 +79,12 @@
     return Machine(monkeypatch, tmp_path)
 
 
-def decision(facade):
+def decision(engine):
     """What became of the one packet: repeated, errored (nothing is promised), dismissed or still held."""
-    ending = facade.ended()
+    ending = engine.pop_ended()
     if ending:
         return "dismissed" if ending.again else "errored"
-    return "repeated" if facade.pick() else "held"
+    return "repeated" if engine.pop_job() else "held"
 
 
 @pytest.mark.parametrize(
@@ -178,26 +178,26 @@
 @pytest.mark.parametrize("listed, end", [(False, "errored"), (True, "repeated")])
 def test_an_attempt_held_for_its_destination_ends_when_its_repeat_is_known_no_more(machine, listed, end):
     machine.leave_attempt(WINDOW // 2)
-    facade = machine.restart(listed=False)
+    engine = machine.restart(listed=False)
     over = NOW - WINDOW // 2 + WINDOW - MARGIN
-    assert facade.tick(NOW) <= over
-    facade.tick(over - 1)
-    assert decision(facade) == "held"
+    assert engine.tick(NOW) <= over
+    engine.tick(over - 1)
+    assert decision(engine) == "held"
     if listed:
         host = replace(entry(0, 0, kind=1), host=b"h0")
-        facade.told(over - 1, Change.DELTA, (host,))
-        facade.tick(over - 1)
+        engine.update_hosts(over - 1, Change.DELTA, (host,))
+        engine.tick(over - 1)
     else:
-        facade.tick(over)
-    assert decision(facade) == end
+        engine.tick(over)
+    assert decision(engine) == end
 
 
 def test_a_repeat_whose_link_comes_up_after_the_window_may_not_be_written(machine):
     machine.leave_attempt(WINDOW // 2)
-    facade = machine.restart()
-    (part,) = facade.pick().parts
+    engine = machine.restart()
+    (part,) = engine.pop_job().parts
     over = NOW - WINDOW // 2 + WINDOW - MARGIN
-    assert facade.still(over - 1, part) and not facade.still(over, part)
+    assert engine.may_write(over - 1, part) and not engine.may_write(over, part)
 
 
 def test_the_window_counts_from_the_first_byte_of_a_call_not_from_its_last(tmp_path, monkeypatch):
@@ -212,7 +212,7 @@
         (message,) = relay.desk._journal.owed.values()
         assert [sent_at <= written_by for sent_at, _ in message.trips] == [True]
 
-    play(platform, tmp_path, monkeypatch, steps, hold=QUICK)
+    play(platform, tmp_path, monkeypatch, steps, last_byte_hold_ns=QUICK)
 
 
 def test_a_repeat_that_is_known_no_more_once_its_attempt_is_journalled_does_not_go(tmp_path, monkeypatch):
@@ -242,7 +242,7 @@
         if not seen:
             until = clock.steady() + SECOND // 2
             seen.append((messages[0], until))
-            relays[0].desk._facade.wait_told(clock.steady(), b"h0", until)
+            relays[0].desk._engine.apply_retry_after(clock.steady(), b"h0", until)
 
     monkeypatch.setattr(Journal, "trip", slow_trip)
     relays = []
--- a/tests/net/test_restored.py
+++ b/tests/net/test_restored.py
@@ -14,11 +14,11 @@
 from millweir.interface import Limits
 from millweir.net import clock
 from millweir.net.journal import FILE, Journal, OwedMessage, named
-from millweir.settings import read_settings
+from millweir.settings import parse_settings
 from net.inside import play
 
 STATE = "state"
-BOUNDS = bounds(read_settings(CONFIG), Limits(256, 1 << 20, 192 << 20))
+BOUNDS = bounds(parse_settings(CONFIG), Limits(256, 1 << 20, 192 << 20))
 
 
 class Gated(Platform):
@@ -123,8 +123,8 @@
     began = time.monotonic()
     start(platform)
     until(lambda: platform.sent("a"))
-    assert platform.sent("a")[0].at - platform.asks[0] > BOUNDS.opening / 1e9 - 0.3
-    assert time.monotonic() - began < BOUNDS.opening / 1e9 + 4
+    assert platform.sent("a")[0].at - platform.asks[0] > BOUNDS.startup_list_wait_ns / 1e9 - 0.3
+    assert time.monotonic() - began < BOUNDS.startup_list_wait_ns / 1e9 + 4
     assert len(platform.asks) >= 2  # the first ask was silent: it was made anew, and is still out
     platform.add("h9")
     platform.gate.set()
@@ -199,7 +199,7 @@
         desk._restore(
             OwedMessage(b"a", b"forgotten", b"", b"", b"", 0, time.time_ns() + 15 * 10**9, b"hello")
         )
-        assert desk._facade._relay._max_trips == 1  # fewer trips bind at once, and go on to
+        assert desk._engine._relay._max_trips == 1  # fewer trips bind at once, and go on to
 
     play(Platform(hosts=1), tmp_path, monkeypatch, steps)
 
--- a/tests/net/test_shutdown.py
+++ b/tests/net/test_shutdown.py
@@ -39,7 +39,9 @@
 
     async def steps(relay):
         desk = relay.desk
-        clients = await relay.rested(5 * desk._bounds.turn_reads // 4)  # more than one turn answers
+        clients = await relay.rested(
+            5 * desk._bounds.max_requests_per_turn // 4
+        )  # more than one turn answers
 
         def arrived():
             monkeypatch.setattr(desk.clients, "_wake", desk.wake)
@@ -115,7 +117,7 @@
         await asyncio.wait_for(relay.over, 2)
         assert not platform.calls and relay.owed() == {"held": 0}  # the next start tries it
 
-    play(platform, tmp_path, monkeypatch, steps, hold=60 * SECOND)
+    play(platform, tmp_path, monkeypatch, steps, last_byte_hold_ns=60 * SECOND)
 
 
 def test_a_link_that_comes_up_after_the_end_was_begun_carries_nothing(tmp_path, monkeypatch):
--- a/tests/net/test_told_bound.py
+++ b/tests/net/test_told_bound.py
@@ -95,10 +95,10 @@
 @pytest.mark.parametrize("relays", FLEETS)
 def test_only_a_list_is_followed_by_a_long_watch(relays):
     limits = given(relays)
-    assert patience_after(limits, True, 0, False).silence == limits.silence
+    assert patience_after(limits, True, 0, False).silence == limits.watch_timeout_ns
     for failures, unread in ((1, False), (9, False), (0, True), (9, True)):
         short = patience_after(limits, True, failures, unread)
-        assert MILLISECOND < short.wait < short.silence <= max(limits.proofs)
+        assert MILLISECOND < short.wait < short.silence <= max(limits.probe_timeouts_ns)
         assert patience_after(limits, False, failures, unread).wait == MILLISECOND
 
 
@@ -124,7 +124,7 @@
 @pytest.mark.parametrize("out", (2.0, 4.0, 8.0, 16.0))
 def test_a_dial_whose_syn_was_lost_is_given_up_and_dialled_anew_before_the_kernel_repeats_it(out):
     """Out for 8 s, the kernel's repeat at 15 s would come up 7 s after the return."""
-    lost, at_most = cycled((Fault.LOST,)), given(200).proofs[-1] / SECOND + 0.05 + 4 * LATENCY
+    lost, at_most = cycled((Fault.LOST,)), given(200).probe_timeouts_ns[-1] / SECOND + 0.05 + 4 * LATENCY
     assert told_after(200, out, lost) < at_most  # the watch failed
     # An answer that ended its connection was the last to come: the dial is that of a long watch.
     assert told_after(200, out, lost, leaves=1.5 * LATENCY, closing=True) < at_most
--- a/tests/net/test_watch.py
+++ b/tests/net/test_watch.py
@@ -32,9 +32,16 @@
 @pytest.mark.parametrize("relays", [1, 5, 40, 200, 500])
 def test_a_silent_watch_is_found_out_with_time_for_a_second_silent_connection_before_its_news_counts(relays):
     given = bounds(settings(relays=relays), Limits(256, 1 << 20, 64 << 20))
-    assert given.watch < given.silence and given.silence + given.proofs[1] < given.watch + 2 * SECOND
-    assert given.opening > given.proofs[0]  # one silent connection is replaced before calls go out
-    assert given.watch >= min(20, relays / 2) * SECOND  # no more than a fifth of a tenth of a second a relay
+    assert (
+        given.watch_wait_ns < given.watch_timeout_ns
+        and given.watch_timeout_ns + given.probe_timeouts_ns[1] < given.watch_wait_ns + 2 * SECOND
+    )
+    assert (
+        given.startup_list_wait_ns > given.probe_timeouts_ns[0]
+    )  # one silent connection is replaced before calls go out
+    assert (
+        given.watch_wait_ns >= min(20, relays / 2) * SECOND
+    )  # no more than a fifth of a tenth of a second a relay
 
 
 def test_a_watch_that_fell_silent_is_opened_anew_also_when_the_next_connection_is_silent_as_well():
@@ -61,7 +68,7 @@
 
 def test_a_close_that_crosses_the_next_ask_leaves_no_gap_and_is_no_failure():
     async def steps(agent):
-        watched = Watched(agent, redial=SECOND * 60)
+        watched = Watched(agent, reconnect_delay_ns=SECOND * 60)
         (await agent.asked()).tell(listed(7))
         crossed = await agent.asked()
         crossed.end()  # as if it had closed just before the ask came
@@ -77,7 +84,7 @@
 
 def test_a_connection_that_never_comes_up_has_no_patience_left_over_from_the_last_one():
     async def steps(agent):
-        watched = Watched(agent, resend=60 * SECOND, redial=1_000_000)
+        watched = Watched(agent, retry_interval_ns=60 * SECOND, reconnect_delay_ns=1_000_000)
         (await agent.asked()).say(b"HTTP/1.1 200 X\r\nContent-Length: 900\r\n\r\n{")  # an answer had begun
         exchange = watched.watch._feeds[0]._exchange
         gate = exchange._loop = Gate(exchange._loop)
@@ -113,7 +120,7 @@
 
 def test_a_list_that_has_begun_when_patience_runs_out_has_more_time_but_not_for_ever():
     async def steps(agent):
-        watched = Watched(agent, resend=SECOND // 2, proofs=(100, 100, 100))
+        watched = Watched(agent, retry_interval_ns=SECOND // 2, proofs=(100, 100, 100))
         ask, body = await agent.asked(), listed(8, row("h1"))
         ask.say(b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body[:20]))
         await asyncio.sleep(0.25)
@@ -180,7 +187,7 @@
 
 def test_what_is_no_list_is_asked_for_again_soon_and_without_end():
     async def steps(agent):
-        watched = Watched(agent, redial=1_000_000, resend=4_000_000)
+        watched = Watched(agent, reconnect_delay_ns=1_000_000, retry_interval_ns=4_000_000)
         for _ in range(12):
             (await agent.asked()).tell(b'{"index":1,"endpoints":[{}]}')
         assert watched.counters.counts["list_failures"] >= 11 and not watched.told and not watched.failures
@@ -237,7 +244,7 @@
 
 def test_the_old_address_failing_while_its_successor_proves_itself_stops_neither():
     async def steps(old):
-        watched, new = Watched(old, redial=1_000_000), await Agent().open()
+        watched, new = Watched(old, reconnect_delay_ns=1_000_000), await Agent().open()
         (await old.asked()).tell(listed(7))
         watching = await old.asked()
         watched.watch.move(new.address)
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -43,7 +43,7 @@
     return Profile(effect.value, 1.0, 2 * SECOND, 16 * SECOND, 0.4, effect, 6 * SECOND, False, in_order)
 
 
-PROFILES = tuple(profile(effect) for effect in Effect) + (profile(Effect.REFERENCED, in_order=True),)
+PROFILES = tuple(profile(effect) for effect in Effect) + (profile(Effect.IDEMPOTENT_BY_KEY, in_order=True),)
 
 
 def settings(**given) -> Settings:
@@ -132,13 +132,13 @@
         assert packet.id not in self.answers and self.now < accepted["hard_stop"], "sent after its end"
         assert len(trips) < self.settings.max_trips
         risky = [s for s in trips if s.outcome not in NEVER_RAN]
-        assert effect is not Effect.SINGLE_USE or not risky, "non-idempotent packet sent twice"
-        if effect is Effect.REFERENCED and risky:
+        assert effect is not Effect.NON_IDEMPOTENT or not risky, "non-idempotent packet sent twice"
+        if effect is Effect.IDEMPOTENT_BY_KEY and risky:
             first = min(s.at for s in risky)
             assert (
-                self.now <= first + packet.profile.repeat_known
+                self.now <= first + packet.profile.dedup_window
             ), "sent again after its deduplication window"
-            same_zone = not packet.profile.repeat_known_by_zone or host.zone == risky[0].host.zone
+            same_zone = not packet.profile.dedup_per_zone or host.zone == risky[0].host.zone
             assert same_zone, "sent again in a zone that does not detect the repeat"
         if not self.settings.second_copies:
             assert all(s.outcome for s in trips), "two trips at once"
@@ -168,12 +168,12 @@
         ), "more calls than slots"
 
     def dismiss(self, packet, wait):
-        assert packet.profile.effect is Effect.REPLAYABLE or all(
+        assert packet.profile.effect is Effect.IDEMPOTENT or all(
             s.outcome in NEVER_RAN for s in self.sent if s.packet is packet
         ), "dismissed a packet that may have run"
         self.record_answer(packet, "dismissed")
 
-    def error(self, packet):
+    def fail(self, packet):
         self.record_answer(packet, "errored")
 
     def cancel(self, packet, number):
@@ -184,14 +184,14 @@
         assert packet.id not in self.answers, "answered twice"
         self.answers[packet.id] = how
 
-    def alarm(self, delay):
+    def set_alarm(self, delay):
         assert delay > 0
         self.alarms.append(self.now + delay)
 
-    def free_links(self, host):
+    def close_idle_connections(self, host):
         self.idle_closed.append((self.now, host.id))
 
-    def watch(self):
+    def request_host_list(self):
         self.watches.append(self.now)
 
     # Events reported to the relay.
@@ -215,7 +215,7 @@
     def add_packet(self, kind=0, destination=0, key=0, tenant=0, ident=None):
         ident = ident or len(self.accepted) + 1
         chosen = self.settings.profiles[kind]
-        self.accepted[ident] = {"hard_stop": self.now + chosen.give_up, "key": key if chosen.in_order else 0}
+        self.accepted[ident] = {"hard_stop": self.now + chosen.lifetime, "key": key if chosen.in_order else 0}
         if self.accepted[ident]["key"]:
             self.queues.setdefault(key, []).append(ident)
         stop = self.accepted[ident]["hard_stop"]
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -20,7 +20,7 @@
             "second_copies": False,
             "max_trips": 6,
             "zones": ("a", "b"),
-            "profiles": [replace(p, repeat_known_by_zone=seed % 2 == 0) for p in PROFILES],
+            "profiles": [replace(p, dedup_per_zone=seed % 2 == 0) for p in PROFILES],
             "entries": [entry(d, n, kind=d % 2, zone=n % 2) for d in range(3) for n in range(3)],
         }
     )
@@ -110,7 +110,9 @@
 def test_a_packet_that_never_ran_is_dismissed_and_one_that_may_have_run_is_errored():
     rig = Rig()
     held = rig.add_packet(1, destination=9)
-    ran = rig.add_packet([p.effect for p in rig.settings.profiles].index(Effect.SINGLE_USE), destination=0)
+    ran = rig.add_packet(
+        [p.effect for p in rig.settings.profiles].index(Effect.NON_IDEMPOTENT), destination=0
+    )
     rig.pass_time(17 * SECOND)
     assert rig.answers == {held: "dismissed", ran: "errored"}
 
@@ -239,9 +241,9 @@
         rig = Rig(
             entries=[entry(0, n, kind=1, zone=zone) for n, zone in enumerate(zones)],
             relays=1,
-            profiles=[replace(p, repeat_known_by_zone=True) for p in PROFILES],
+            profiles=[replace(p, dedup_per_zone=True) for p in PROFILES],
         )
-        rig.add_packet([p.effect for p in PROFILES].index(Effect.REFERENCED))
+        rig.add_packet([p.effect for p in PROFILES].index(Effect.IDEMPOTENT_BY_KEY))
         rig.pass_time(8 * SECOND, lambda s: decide(rig, s))
         return rig
 
@@ -265,14 +267,14 @@
     }, "no host is left in that zone, and the deduplication window ends"
 
 
-@pytest.mark.parametrize("effect", [Effect.REPLAYABLE, Effect.REFERENCED])
+@pytest.mark.parametrize("effect", [Effect.IDEMPOTENT, Effect.IDEMPOTENT_BY_KEY])
 def test_no_two_trips_of_a_packet_run_at_once_where_copies_are_not_allowed(effect):
     rig = Rig(
         entries=[entry(0, 0, kind=1, rate=90.0), entry(0, 1, kind=1, rate=90.0), entry(2, 0, kind=1)],
         relays=1,
         slots=1,
         second_copies=False,
-        profiles=[replace(p, repeat_known=12 * SECOND) for p in PROFILES],
+        profiles=[replace(p, dedup_window=12 * SECOND) for p in PROFILES],
     )
     lost = rig.add_packet([p.effect for p in PROFILES].index(effect))
     rig.pass_time(SECOND)
@@ -298,7 +300,7 @@
 def test_packets_in_flight_before_a_restart_are_not_repeated_where_copies_are_not_allowed():
     for allowed in (True, False):
         rig = Rig(second_copies=allowed)
-        for ident, effect in enumerate((Effect.REPLAYABLE, Effect.REFERENCED), 1):
+        for ident, effect in enumerate((Effect.IDEMPOTENT, Effect.IDEMPOTENT_BY_KEY), 1):
             rig.accepted[ident] = {"hard_stop": rig.now + 9 * SECOND, "key": 0}
             kind, stop = [p.effect for p in PROFILES].index(effect), rig.now + 9 * SECOND
             rig.relay.add_packet(rig.now, ident, kind, 0, 0, stop, 0, ((rig.now - 1, False),))
@@ -343,7 +345,7 @@
     busy(20 * SECOND, lambda s: Outcome.UNCONNECTED if rig.now - s.at > 50 * MILLISECOND else None)
     # Three calls until it is ejected, then the part of its own use (one call a second) that slow start leaves
     # to each relay, spread over a span that is a quarter shorter.
-    assert len(rig.sent) <= 3 + 20 * rig.relay._slow_start.cold_share / 0.75
+    assert len(rig.sent) <= 3 + 20 * rig.relay._slow_start.slow_start_share / 0.75
     busy(60 * SECOND, succeed_after()(rig))
     assert sum(s.at > rig.now - 5 * SECOND for s in rig.sent) >= 4
 
@@ -397,7 +399,7 @@
 
 def test_hosts_with_a_low_fee_go_first_while_no_value_is_lost_by_it():
     def zones(late):
-        profile = replace(PROFILES[0], quoted=2 * SECOND, late_share=0.1)
+        profile = replace(PROFILES[0], target_latency=2 * SECOND, value_floor=0.1)
         rig = Rig(
             entries=[entry(0, n, kind=1, zone=n, rate=90.0) for n in range(3)],
             relays=1,
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -7,7 +7,7 @@
 import pytest
 from rig import Platform, entry, settings
 
-from millweir.facade import Facade
+from millweir.facade import DecisionEngine
 from millweir.interface import SECOND, Change, Limits, Outcome, Phase
 from millweir.net import clock
 from millweir.net.counters import Counters
@@ -165,27 +165,27 @@
 
 def test_a_part_is_not_written_after_its_packet_or_host_has_ended():
     # Guards rules 1, 3 and 6 while a link takes long to come up.
-    facade = Facade(settings(), Limits(256, 1 << 20, 1 << 26), 1, SECOND)
+    engine = DecisionEngine(settings(), Limits(256, 1 << 20, 1 << 26), 1, SECOND)
     rows = tuple(replace(entry(n, 0, kind=1, rate=100.0), host=b"h%d" % n) for n in range(3))
-    facade.told(SECOND, Change.CACHED, rows)
-    for host in facade._relay._hosts.values():
+    engine.update_hosts(SECOND, Change.CACHED, rows)
+    for host in engine._relay._hosts.values():
         host.last_success_at = 1  # else no second call goes beside the first one
     for n in range(3):
-        facade.take(SECOND, f"p{n}", 2, 0, 0, 9 * SECOND, n)
-        facade.take(SECOND, f"q{n}", 2, 0, 0, 9 * SECOND, n)
-    assert facade.tick(SECOND) > SECOND
+        engine.add_packet(SECOND, f"p{n}", 2, 0, 0, 9 * SECOND, n)
+        engine.add_packet(SECOND, f"q{n}", 2, 0, 0, 9 * SECOND, n)
+    assert engine.tick(SECOND) > SECOND
     jobs = {}
-    while job := facade.pick():
+    while job := engine.pop_job():
         jobs.setdefault(job.host, []).append(job.parts[0])
     (first, waiting), (drained, _), (ended, _) = jobs.values()
     now = SECOND + SECOND // 10
-    facade.report(now, first, Outcome.FULL, wait=SECOND)
+    engine.report_outcome(now, first, Outcome.FULL, wait=SECOND)
     gone = next(row for row in rows if row.host.decode() == drained.job.host)
-    facade.told(now, Change.DELTA, (replace(gone, phase=Phase.DRAINING),))
-    facade.report(now, ended, Outcome.FULFILLED, finished=True)
-    assert not facade.still(now, waiting) and facade.still(now, drained)
-    assert facade.still(now + SECOND, waiting) and not facade.still(now + SECOND, drained)
-    assert not facade.still(now, ended)
+    engine.update_hosts(now, Change.DELTA, (replace(gone, phase=Phase.DRAINING),))
+    engine.report_outcome(now, ended, Outcome.FULFILLED, finished=True)
+    assert not engine.may_write(now, waiting) and engine.may_write(now, drained)
+    assert engine.may_write(now + SECOND, waiting) and not engine.may_write(now + SECOND, drained)
+    assert not engine.may_write(now, ended)
 
 
 class Peer(asyncio.Protocol):
@@ -210,8 +210,8 @@
 def play_call(folder, first, after, hold):
     """One single-use packet on its way to a Peer: its outcome, its trips in the journal, the calls read."""
     now, calls, heard = clock.steady(), [], []
-    facade = Facade(settings(), Limits(256, 1 << 20, 1 << 26), 1, now)
-    facade.told(now, Change.CACHED, (replace(entry(0, 0, kind=1), host=b"h0"),))
+    engine = DecisionEngine(settings(), Limits(256, 1 << 20, 1 << 26), 1, now)
+    engine.update_hosts(now, Change.CACHED, (replace(entry(0, 0, kind=1), host=b"h0"),))
     journal = Journal(folder, 20_000, 15_000, print)
     owed = message(b"p", b"body")
     journal.taken(owed)
@@ -221,7 +221,7 @@
         server = await loop.create_server(lambda: Peer(calls, first), "127.0.0.1", 0)
         hosts = Hosts(
             loop,
-            replace(facade.bounds, hold=hold),
+            replace(engine.bounds, last_byte_hold_ns=hold),
             SECOND,
             journal,
             lambda *_: True,
@@ -230,9 +230,9 @@
             Counters(),
         )
         hosts.listed({"h0": server.sockets[0].getsockname()}, [])
-        facade.take(now, owed, 2, 0, 0, now + 9 * SECOND, 0)
-        facade.tick(now)
-        hosts.start(facade.pick())
+        engine.add_packet(now, owed, 2, 0, 0, now + 9 * SECOND, 0)
+        engine.tick(now)
+        hosts.start(engine.pop_job())
         await asyncio.sleep(0.05)
         after(hosts, journal)
         while not heard:
@@ -264,11 +264,11 @@
 
 def test_a_tick_names_only_times_to_come():
     # Guards against a loop timer that spins on a time gone by, or is lost when it rings early.
-    facade = Facade(settings(), Limits(256, 1 << 20, 1 << 26), 1, SECOND)
-    facade.take(SECOND, "p", 0, 0, 0, 3 * SECOND, 9)
-    due = facade.tick(SECOND)
-    assert due > SECOND and facade.tick(due - 1) == due
-    assert facade.tick(due) == 0 and facade.ended().item == "p"
+    engine = DecisionEngine(settings(), Limits(256, 1 << 20, 1 << 26), 1, SECOND)
+    engine.add_packet(SECOND, "p", 0, 0, 0, 3 * SECOND, 9)
+    due = engine.tick(SECOND)
+    assert due > SECOND and engine.tick(due - 1) == due
+    assert engine.tick(due) == 0 and engine.pop_ended().item == "p"
 
 
 def test_log_drops_lines_beyond_its_rate_and_says_so(capsys, monkeypatch):
@@ -314,8 +314,8 @@
     # the third hears of only after it read the wait.
     told = []
 
-    class Facade:
-        def wait_told(self, now, host, until):
+    class DecisionEngine:
+        def apply_retry_after(self, now, host, until):
             told.append(host)
 
     class Loop:
@@ -325,7 +325,7 @@
         call_soon = call_later
 
     def process(slot):
-        return SharedWaits(Loop(), tmp_path, slot, Facade(), lambda: None, Log(100))
+        return SharedWaits(Loop(), tmp_path, slot, DecisionEngine(), lambda: None, Log(100))
 
     first = process(0)
     first.told("h1", 30 * SECOND)
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -21,7 +21,7 @@
 from millweir.events import HostState
 from millweir.interface import MILLISECOND, SECOND, Change, Entry, Outcome, Settings
 from millweir.records import Host, Packet
-from millweir.slow_start import EJECT_AT
+from millweir.slow_start import EJECTION_LOG_ODDS
 
 WARM_UP = 12 * SECOND
 OUTAGE = 10 * SECOND
@@ -84,17 +84,17 @@
         """Port: final answer."""
         self.owed.pop(packet.id, None)
 
-    def error(self, packet: Packet) -> None:
+    def fail(self, packet: Packet) -> None:
         """Port: final answer."""
         self.owed.pop(packet.id, None)
 
-    def free_links(self, host: Host) -> None:
+    def close_idle_connections(self, host: Host) -> None:
         """Port: connections are not modelled."""
 
-    def watch(self) -> None:
+    def request_host_list(self) -> None:
         """Port: the list does not change."""
 
-    def alarm(self, delay: int) -> None:
+    def set_alarm(self, delay: int) -> None:
         """Port: end a round after the delay."""
         due = self.alarm_at = self._fleet.now + delay
         self._fleet.schedule(delay, lambda: self.alarm_at == due and self.end_round())
@@ -291,7 +291,7 @@
     for ident in range(1, 9):
         rig.relay.add_packet(rig.now, ident, 0, 0, 0, deadline, 0)
     host = rig.relay._hosts[rig.entries[0].host]
-    rig.relay._slow_start.failed(host, EJECT_AT, "test", rig.now)
+    rig.relay._slow_start.record_failure(host, EJECTION_LOG_ODDS, "test", rig.now)
     assert host.slow_start_rate == pytest.approx(
-        rig.relay._slow_start.cold_share * host.limit_scope.fair_share
+        rig.relay._slow_start.slow_start_share * host.limit_scope.fair_share
     )
--- a/tests/test_settings_again.py
+++ b/tests/test_settings_again.py
@@ -1,10 +1,10 @@
-"""Settings at SIGHUP: taken whole or turned down whole."""
+"""Settings read at SIGHUP are applied whole or rejected whole."""
 
 import copy
 
 import pytest
 
-from millweir.settings import check_again
+from millweir.settings import validate_reloaded_settings
 
 START = {
     "balancers": 2,
@@ -17,14 +17,14 @@
 }
 
 
-def changed(how):
+def changed(change):
     given = copy.deepcopy(START)
-    how(given)
+    change(given)
     return given
 
 
-def test_a_whole_file_with_new_changed_and_vanished_profiles_is_taken():
-    def how(given):
+def test_settings_with_added_changed_and_removed_profiles_are_accepted():
+    def change(given):
         given["grades"][0]["semantics"] = "side_effect"  # stricter
         given["grades"][1] = {
             "name": "iron-v2",
@@ -34,11 +34,11 @@
         }
         given["ceilings"]["max-attempts"] = 1
 
-    check_again(changed(how), START)
+    validate_reloaded_settings(changed(change), START)
 
 
 @pytest.mark.parametrize(
-    "how",
+    "change",
     [
         lambda g: g.clear(),
         lambda g: g.pop("ceilings"),
@@ -57,12 +57,12 @@
         lambda g: g.__setitem__("ceilings", [3]),
     ],
 )
-def test_a_file_that_lacks_a_key_or_has_no_number_above_0_is_turned_down(how):
+def test_settings_with_a_missing_key_or_an_invalid_number_are_rejected(change):
     with pytest.raises(ValueError):
-        check_again(changed(how), START)
+        validate_reloaded_settings(changed(change), START)
 
 
-def test_no_object_is_turned_down():
+def test_settings_that_are_not_an_object_are_rejected():
     for given in (None, [], "settings", 0):
         with pytest.raises(ValueError):
-            check_again(given, START)
+            validate_reloaded_settings(given, START)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The adapter: frames encoded here go in, and what comes out is decoded here."""
+"""The bench adapter: batches are encoded here and its replies decoded."""
 
 import io
 import json
@@ -6,7 +6,7 @@
 
 import pytest
 
-from millweir.adapter.wire import Malformed, serve
+from millweir.adapter.wire import ProtocolError, serve
 
 HOST = bytes((10, 0, 0, 1, 80, 0))
 CONFIG = {
@@ -22,32 +22,32 @@
 }
 
 
-def select(number=3):
+def select_relay(number=3):
     return struct.pack("<HI", 1110, number)
 
 
-def power_on(config=None):
+def start_relay(config=None):
     text = json.dumps(CONFIG if config is None else config).encode()
     return struct.pack("<HQI", 1000, 5, len(text)) + text
 
 
-def roster(number=2, phase=1):
+def host_list(number=2, phase=1):
     return struct.pack("<HHI", 1100, number, 1) + struct.pack("<6sBHHBfQ", HOST, 0, 0, 57, phase, 4.0, 0)
 
 
-def targets(number=2, kind=2):
+def host_list_update(number=2, kind=2):
     return struct.pack("<HQHB", 1010, 1, number, kind)
 
 
-def order(ident, not_after, profile=0):
-    return struct.pack("<HIBIQQIfB", 1020, ident, profile, 0, 0, not_after, 0, 57.0, 0)
+def packet(packet_id, deadline_us, profile=0):
+    return struct.pack("<HIBIQQIfB", 1020, packet_id, profile, 0, 0, deadline_us, 0, 57.0, 0)
 
 
-def settled(ident, reason, finished):
-    return struct.pack("<HIIHIBB6sB", 1040, ident, 0, reason, 9000, finished, 0, HOST, 0)
+def end_trip(packet_id, reason, finished):
+    return struct.pack("<HIIHIBB6sB", 1040, packet_id, 0, reason, 9000, finished, 0, HOST, 0)
 
 
-def play(*batches):
+def serve_batches(*batches):
     """Serve the batches, (clock, body) each, and return the bodies of the replies."""
     source = io.BytesIO(b"".join(struct.pack("<IQ", len(body), now) + body for now, body in batches))
     sink = io.BytesIO()
@@ -60,11 +60,11 @@
     return replies
 
 
-def test_a_packet_goes_out_and_comes_back():
-    replies = play(
+def test_a_packet_is_sent_and_ends():
+    replies = serve_batches(
         (0, b""),
-        (1000, roster() + select() + power_on() + targets() + order(7, 16_001_000)),
-        (10000, select() + settled(7, 200, 1)),
+        (1000, host_list() + select_relay() + start_relay() + host_list_update() + packet(7, 16_001_000)),
+        (10000, select_relay() + end_trip(7, 200, 1)),
     )
     assert replies[0] == b""
     assert replies[1].startswith(struct.pack("<HI", 1050, 3))
@@ -72,38 +72,46 @@
     assert b"\x56\x04" + struct.pack("<I", 7) not in replies[2]
 
 
-def test_a_restart_in_one_batch_forgets_and_a_list_number_is_read_in_order():
-    start = roster() + select() + power_on() + targets()
-    again = struct.pack("<H", 1090) + power_on() + roster(phase=2) + targets() + order(8, 16_001_000)
-    replies = play((1000, start + order(7, 16_001_000)), (2_000_000, select() + again))
-    assert struct.pack("<HI6s", 1070, 8, HOST) not in replies[1]  # draining, as an earlier life was told
+def test_a_restart_within_a_batch_drops_packets_and_uses_the_list_given_before_it():
+    start = host_list() + select_relay() + start_relay() + host_list_update()
+    again = (
+        struct.pack("<H", 1090)
+        + start_relay()
+        + host_list(phase=2)
+        + host_list_update()
+        + packet(8, 16_001_000)
+    )
+    replies = serve_batches((1000, start + packet(7, 16_001_000)), (2_000_000, select_relay() + again))
+    assert struct.pack("<HI6s", 1070, 8, HOST) not in replies[1]  # draining since before the restart
     assert struct.pack("<I", 7) + HOST not in replies[1]
 
 
-def test_late_and_unknown_packets_are_ignored():
-    start = roster() + select() + power_on() + targets()
-    reply = play((1000, start), (2000, select() + settled(99, 504, 0) + struct.pack("<HI", 1050, 98)))[1]
+def test_records_for_unknown_packets_are_ignored():
+    start = host_list() + select_relay() + start_relay() + host_list_update()
+    reply = serve_batches(
+        (1000, start), (2000, select_relay() + end_trip(99, 504, 0) + struct.pack("<HI", 1050, 98))
+    )[1]
     assert reply == b""
 
 
-def test_a_fault_of_the_module_is_declared_with_its_text():
-    wrong_class = order(7, 16_001_000, profile=9)
-    body = roster() + select() + power_on() + targets() + wrong_class
-    reply = play((1000, body))[0]
+def test_an_exception_in_the_decisions_is_reported_with_its_text():
+    unknown_profile = packet(7, 16_001_000, profile=9)
+    body = host_list() + select_relay() + start_relay() + host_list_update() + unknown_profile
+    reply = serve_batches((1000, body))[0]
     assert struct.pack("<H", 1000) in reply and b"IndexError" in reply
 
 
 @pytest.mark.parametrize(
-    ("body", "says"),
+    ("body", "message"),
     [
-        (select() + b"\xff\xff", "unknown record code 65535"),
-        (select() + order(7, 1)[:-3], "cut short"),
-        (roster()[:-1], "past the end"),
-        (select() + power_on({}), "grades"),
-        (select() + targets(9), "list 9"),
-        (order(7, 1), "before any select"),
+        (select_relay() + b"\xff\xff", "unknown record code 65535"),
+        (select_relay() + packet(7, 1)[:-3], "cut short"),
+        (host_list()[:-1], "past the end"),
+        (select_relay() + start_relay({}), "grades"),
+        (select_relay() + host_list_update(9), "list 9"),
+        (packet(7, 1), "before any select"),
     ],
 )
-def test_malformed_input_is_named(body, says):
-    with pytest.raises(Malformed, match=says):
-        play((1000, body))
+def test_malformed_input_is_described(body, message):
+    with pytest.raises(ProtocolError, match=message):
+        serve_batches((1000, body))
