--- a/millweir/cli/__init__.py
+++ b/millweir/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command `millweir`; groups are loaded on use.  Exit 0 fine, 1 something wrong, 2 wrong use."""
+"""The command `millweir`; its groups are imported on use.  Exit status: 0 success, 1 failure, 2 bad usage."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 }
 
 
-class Lazy(click.Group):
-    """Knows its groups by name; their modules are imported on use."""
+class LazyGroup(click.Group):
+    """A group that imports the modules of its commands on use."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         return sorted(GROUPS)
@@ -26,6 +26,6 @@
         return getattr(importlib.import_module(module), name)
 
 
-@click.group(cls=Lazy)
+@click.group(cls=LazyGroup)
 def main() -> None:
     """An outbound gateway that calls many partners' systems within their limits."""
--- a/millweir/cli/__main__.py
+++ b/millweir/cli/__main__.py
@@ -1,4 +1,4 @@
-"""python -m millweir.cli: the command, where it is not installed."""
+"""Runs the command `millweir` where it is not installed: python -m millweir.cli."""
 
 from millweir.cli import main
 
--- a/millweir/cli/check.py
+++ b/millweir/cli/check.py
@@ -1,4 +1,4 @@
-"""`millweir check FILE`: the operator's file, all faults at once, nothing started."""
+"""`millweir check FILE`: checks the operator's file and reports all its faults, without starting a relay."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 @click.command()
 @click.argument("file", type=click.Path(dir_okay=False))
 def check(file: str) -> None:
-    """Read the operator's FILE and say what is wrong with it."""
-    from millweir.operator.file import Unusable, read_operator
-    from millweir.operator.start import Kinds
+    """Check the operator's FILE and report all its faults."""
+    from millweir.operator.file import InvalidOperatorFile, read_operator
+    from millweir.operator.start import SectionTypes
 
     try:
-        sections = read_operator(file, Kinds())
-    except Unusable as fault:
-        click.echo(str(fault), err=True)
+        sections = read_operator(file, SectionTypes())
+    except InvalidOperatorFile as error:
+        click.echo(str(error), err=True)
         raise SystemExit(1) from None
     click.echo(f"fine: {', '.join(sections) or 'nothing is switched on'}")
--- a/millweir/cli/lab.py
+++ b/millweir/cli/lab.py
@@ -1,4 +1,4 @@
-"""`millweir lab`: scenarios on real processes, fleets in simulated time."""
+"""`millweir lab`: runs fault scenarios on real processes and simulations of fleets."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @click.group()
 def lab() -> None:
-    """The project's own model of troubles: played, judged, replayed."""
+    """Fault scenarios, simulations and measurements of the project."""
 
 
 @lab.command()
@@ -21,40 +21,40 @@
 @click.option("--keep", type=click.Path(path_type=Path), help="folder for logs, history and views")
 @click.option("--json", "as_json", is_flag=True)
 def cluster(scenario: Path, seed: int, keep: Path | None, as_json: bool) -> None:
-    """Play SCENARIO on real relays with faults between them; exit 1 for a broken rule or a wrong view."""
+    """Run SCENARIO on real relays with injected faults; exit 1 for a violated rule or a wrong view."""
     from millweir.lab.cluster import Rig
     from millweir.lab.scenario import read_scenario
 
     try:
-        given = read_scenario(scenario)
-    except ValueError as fault:
-        raise click.UsageError(f"{scenario}: {fault}") from None
+        parsed_scenario = read_scenario(scenario)
+    except ValueError as error:
+        raise click.UsageError(f"{scenario}: {error}") from None
 
     async def run() -> object:
         asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, asyncio.current_task().cancel)
-        async with Rig(given, seed, keep) as rig:
+        async with Rig(parsed_scenario, seed, keep) as rig:
             return await rig.play(lambda line: click.echo(line, err=True))
 
     played = asyncio.run(run())
     verdict, finding = played.verdict, played.finding
-    out = {
+    summary = {
         "seed": seed,
         "fine": played.fine,
-        "rules": {k: v[:5] for k, v in verdict.broken.items()},
+        "rules": {rule: breaches[:5] for rule, breaches in verdict.broken.items()},
         "packets": dict(verdict.counts),
         "wrong": finding.wrong,
         "missed": finding.missed,
         "failures": played.failures,
-        "detected": sorted(round(at, 2) for at in finding.detected),
+        "detected": sorted(round(seconds, 2) for seconds in finding.detected),
         "accused": dict(finding.accused),
         "buried": dict(finding.buried),
         "member_hours": round(finding.hours, 4),
-        "agreed_after": sorted(round(at, 2) for at in finding.agreed_after),
+        "agreed_after": sorted(round(seconds, 2) for seconds in finding.agreed_after),
     }
     if as_json:
-        click.echo(json.dumps(out))
+        click.echo(json.dumps(summary))
     else:
-        for key, value in out.items():
+        for key, value in summary.items():
             click.echo(f"{key:<13} {value}")
         click.echo(f"replay        millweir lab cluster {scenario} --seed {seed}")
     raise SystemExit(0 if played.fine else 1)
@@ -68,18 +68,20 @@
 @click.option("--seeds", type=int, default=3, show_default=True)
 @click.option("--seconds", type=int, default=120, show_default=True, help="simulated, of each run")
 @click.option("--workers", type=int, default=4, show_default=True)
-@click.option("--out", type=click.Path(path_type=Path), required=True, help="JSON lines; goes on there")
+@click.option(
+    "--out", type=click.Path(path_type=Path), required=True, help="JSON lines; a run is continued there"
+)
 def fleet(
     ways: str, sizes: str, troubles: str, suspicions: str, seeds: int, seconds: int, workers: int, out: Path
 ) -> None:
-    """Simulated fleets: time to detect, false deaths, messages and bytes, by size, trouble and way."""
+    """Simulate fleets: detection time, false deaths, messages and bytes, by size, trouble and way."""
     from millweir.lab.detect import sweep
 
     for line in sweep(
         ways.split(","),
         [int(size) for size in sizes.split(",")],
         troubles.split(","),
-        [float(one) for one in suspicions.split(",")],
+        [float(interval) for interval in suspicions.split(",")],
         seeds,
         seconds,
         workers,
@@ -92,7 +94,7 @@
 @click.argument("rows", type=click.Path(exists=True, path_type=Path))
 @click.argument("picture", type=click.Path(path_type=Path))
 def plot(rows: Path, picture: Path) -> None:
-    """Draw what `fleet` wrote: PNG or SVG by the file's ending (needs matplotlib)."""
+    """Plot the output of `fleet`, as PNG or SVG by the file's suffix (needs matplotlib)."""
     from millweir.lab.plots import detection
 
     detection(rows, picture)
@@ -100,11 +102,13 @@
 
 @lab.command()
 @click.argument("part", metavar="PART")
-@click.option("--size", type=click.IntRange(1), required=True, help="what the part grows with")
+@click.option("--size", type=click.IntRange(1), required=True, help="the quantity that the part scales with")
 @click.option("--seed", type=int, default=1, show_default=True)
-@click.option("--out", type=click.Path(dir_okay=False, path_type=Path), help="JSON lines; added at the end")
+@click.option(
+    "--out", type=click.Path(dir_okay=False, path_type=Path), help="JSON lines; appended to the file"
+)
 def scale(part: str, size: int, seed: int, out: Path | None) -> None:
-    """Measure PART at one size; exit 1 where the run stopped itself at its limits."""
+    """Measure PART at one size; exit 1 where the run stopped at its resource limits."""
     from millweir.lab.scale import parts
     from millweir.lab.scale.guard import Guard, LimitExceeded
     from millweir.lab.scale.measurement import (
@@ -129,23 +133,23 @@
                     figure=figure, command=command, seed=seed, commit=commit, machine=machine
                 )
                 append_measurements(out, [measurement])
-    except LimitExceeded as fault:
-        raise click.ClickException(f"stopped: {fault}") from None
+    except LimitExceeded as error:
+        raise click.ClickException(f"stopped: {error}") from None
 
 
 @lab.command()
 @click.option("--write", is_flag=True, help="write docs/CAPACITY.md in place of printing it")
 @click.option("--plot", type=click.Path(dir_okay=False, path_type=Path), help="draw the ranking (matplotlib)")
 def capacity(write: bool, plot: Path | None) -> None:
-    """Work out the page of capacity from the committed measurements and assumptions (needs numpy)."""
+    """Render the capacity page from the committed measurements and assumptions (needs numpy)."""
     from millweir.lab.capacity import page
     from millweir.lab.capacity.assumptions import UnreadableAssumptions
     from millweir.lab.scale.measurement import UnreadableMeasurements
 
     try:
         model = page.read_model()
-    except (UnreadableAssumptions, UnreadableMeasurements) as fault:
-        raise click.ClickException(str(fault)) from None
+    except (UnreadableAssumptions, UnreadableMeasurements) as error:
+        raise click.ClickException(str(error)) from None
     text = page.render(model)
     if write:
         page.PAGE.write_text(text)
@@ -154,32 +158,34 @@
     if plot:
         try:
             from millweir.lab.capacity.plot import draw_ranking
-        except ImportError as missing:
-            raise click.ClickException(f"a plot needs matplotlib: {missing}") from None
+        except ImportError as error:
+            raise click.ClickException(f"a plot needs matplotlib: {error}") from None
         draw_ranking(model, plot)
 
 
 @lab.command()
-@click.option("--seeds", default="1:301", show_default=True, help="from and to, without the last")
+@click.option("--seeds", default="1:301", show_default=True, help="FROM:TO, without TO itself")
 @click.option("--workers", type=click.IntRange(1), default=4, show_default=True)
 def outages(seeds: str, workers: int) -> None:
-    """Outages drawn from SEEDS, played by simulated fleets; exit 1 where a destination is pushed over."""
+    """Simulate outages drawn from SEEDS on fleets; exit 1 where a destination is overloaded."""
     from concurrent.futures import ProcessPoolExecutor
 
     from millweir.lab.outages.fleet import worst_part
     from millweir.lab.outages.scenario import draw_scenario
 
-    first, _, last = seeds.partition(":")
+    first, _, end = seeds.partition(":")
     try:
-        numbers = range(int(first), int(last))
+        seed_numbers = range(int(first), int(end))
     except ValueError:
         raise click.UsageError(f"no FROM:TO of whole numbers: {seeds!r}") from None
-    scenarios = [draw_scenario(number) for number in numbers]
+    scenarios = [draw_scenario(number) for number in seed_numbers]
     with ProcessPoolExecutor(workers) as pool:
-        parts = list(pool.map(worst_part, scenarios, numbers, chunksize=4))
-    for number, scenario, part in zip(numbers, scenarios, parts, strict=True):
-        if part > 1:
-            click.echo(f"seed {number}: {part:.2f} of the bound; {scenario}")
-    over = sum(part > 1 for part in parts)
-    click.echo(f"{over} of {len(parts)} over the bound; the worst {max(parts, default=0.0):.2f}")
-    raise SystemExit(1 if over else 0)
+        bound_shares = list(pool.map(worst_part, scenarios, seed_numbers, chunksize=4))
+    for number, scenario, bound_share in zip(seed_numbers, scenarios, bound_shares, strict=True):
+        if bound_share > 1:
+            click.echo(f"seed {number}: {bound_share:.2f} of the bound; {scenario}")
+    over_bound = sum(bound_share > 1 for bound_share in bound_shares)
+    click.echo(
+        f"{over_bound} of {len(bound_shares)} over the bound; the worst {max(bound_shares, default=0.0):.2f}"
+    )
+    raise SystemExit(1 if over_bound else 0)
--- a/millweir/cli/members.py
+++ b/millweir/cli/members.py
@@ -1,4 +1,4 @@
-"""`millweir members`: looking at a running relay's view, through its local socket."""
+"""`millweir members`: shows a running relay's view of the membership, through its local socket."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 import click
 
-CALL_TIME = 3.0  # seconds
+CALL_TIMEOUT_SECONDS = 3.0
 
 
 @click.group()
 def members() -> None:
-    """Who is there, as one relay sees it: a hint with degrees, never a right."""
+    """The members as one relay sees them: a status of each, which grants no right."""
 
 
-def _socket(function: Any) -> Any:
+def _socket_option(function: Any) -> Any:
     return click.option(
         "--socket",
         "path",
@@ -28,20 +28,20 @@
     )(function)
 
 
-def _call(path: Path, do: str) -> socket.socket:
-    """Ask; a relay that is not there ends the command with one line."""
+def _send_command(path: Path, command: str) -> socket.socket:
+    """Send a command and return the connection; ends with one line where the relay can't be reached."""
     try:
-        link = socket.socket(socket.AF_UNIX)
-        link.settimeout(CALL_TIME)
-        link.connect(str(path))
-        link.sendall(json.dumps({"do": do}).encode() + b"\n")
-    except OSError as fault:
-        raise click.ClickException(f"no relay answers at {path}: {fault.strerror or fault}") from None
-    return link
+        connection = socket.socket(socket.AF_UNIX)
+        connection.settimeout(CALL_TIMEOUT_SECONDS)
+        connection.connect(str(path))
+        connection.sendall(json.dumps({"do": command}).encode() + b"\n")
+    except OSError as error:
+        raise click.ClickException(f"no relay answers at {path}: {error.strerror or error}") from None
+    return connection
 
 
-def _answer(path: Path, do: str) -> dict[str, Any]:
-    with _call(path, do) as link, link.makefile("rb") as source:
+def _request_answer(path: Path, command: str) -> dict[str, Any]:
+    with _send_command(path, command) as connection, connection.makefile("rb") as source:
         try:
             answer = json.loads(source.readline())
         except (OSError, ValueError):
@@ -52,18 +52,18 @@
 
 
 @members.command()
-@_socket
+@_socket_option
 @click.option("--json", "as_json", is_flag=True, help="the whole view as JSON")
 def ls(path: Path, as_json: bool) -> None:
-    """All members, one a line; exit 1 while this member is out or in doubt of itself."""
-    view = _answer(path, "view")
+    """List all members, one a line; exit 1 while this member is out of the membership or suspects itself."""
+    view = _request_answer(path, "view")
     if as_json:
         click.echo(json.dumps(view, indent=1))
     else:
-        doubt = f", in doubt of itself ({view['doubt']})" if view["doubt"] else ""
+        self_suspicion = f", in doubt of itself ({view['doubt']})" if view["doubt"] else ""
         click.echo(
             f"{view['name']}: {view['standing']}, incarnation {view['incarnation']}, slowed "
-            f"{view['slow']} times, late by {view['late_ms']} ms{doubt}"
+            f"{view['slow']} times, late by {view['late_ms']} ms{self_suspicion}"
         )
         for row in view["members"]:
             line = (
@@ -75,11 +75,11 @@
 
 
 @members.command()
-@_socket
+@_socket_option
 @click.argument("name")
 def show(path: Path, name: str) -> None:
-    """One member, everything held of it."""
-    for row in _answer(path, "view")["members"]:
+    """Show all that is known of one member."""
+    for row in _request_answer(path, "view")["members"]:
         if row["name"] == name:
             for key, value in row.items():
                 click.echo(f"{key:<12} {value}")
@@ -88,22 +88,22 @@
 
 
 @members.command()
-@_socket
+@_socket_option
 @click.option("--for", "seconds", type=float, default=0.0, help="seconds to watch; without, until stopped")
 def watch(path: Path, seconds: float) -> None:
-    """Events as they come, one JSON object a line."""
-    with _call(path, "watch") as link:
-        link.settimeout(seconds or None)
+    """Print events as they arrive, one JSON object a line."""
+    with _send_command(path, "watch") as connection:
+        connection.settimeout(seconds or None)
         try:
-            while line := link.recv(65536):
+            while line := connection.recv(65536):
                 click.echo(line, nl=False)
         except (TimeoutError, KeyboardInterrupt):
             return
 
 
 @members.command()
-@_socket
+@_socket_option
 def leave(path: Path) -> None:
-    """Take this relay out of the membership in order; the relay itself goes on."""
-    _answer(path, "leave")
+    """Take this relay out of the membership gracefully; the relay itself keeps running."""
+    _request_answer(path, "leave")
     click.echo("left")
--- a/millweir/lab/scale/journal.py
+++ b/millweir/lab/scale/journal.py
@@ -30,7 +30,7 @@
 from millweir.lab.scale.guard import Guard, LimitExceeded, resident_memory
 from millweir.lab.scale.measurement import Figure
 from millweir.lab.scale.timing import Spread, Subject
-from millweir.net.journal import Journal, OwedMessage, named
+from millweir.net.journal import Journal, OwedMessage, build_slot_file_name
 
 PART = "journal"
 BODY = 200  # bytes
@@ -75,13 +75,13 @@
 def message(number: int) -> OwedMessage:
     """An owed message."""
     return OwedMessage(
-        ident=b"message-%012d" % number,
+        message_id=b"message-%012d" % number,
         profile=b"status",
         account=b"account-%04d" % (number % 1000),
         key=b"",
-        mark=b"",
+        idempotency_key=b"",
         destination=number // EACH_DESTINATION,
-        hard_stop=1 << 62,
+        deadline=1 << 62,
         body=b"x" * BODY,
     )
 
@@ -128,7 +128,7 @@
 
     def take(numbers: range) -> None:
         for number in numbers:
-            journal.taken(message(number))
+            journal.record_accepted(message(number))
 
     for batch in range(batches):
         after = subject.size * (batch + 1) // batches
@@ -137,8 +137,8 @@
         times.wall[-1] /= after - first
         first = after
     for owed in journal.owed.values():
-        journal.trip([owed], 1)
-    written = (folder / named(journal.slot)).stat().st_size
+        journal.record_trips([owed], 1)
+    written = (folder / build_slot_file_name(journal.slot)).stat().st_size
     journal.close()
     return [
         *times.figures(subject, "taken"),
@@ -175,7 +175,7 @@
     def hand_in() -> None:
         for owed in journal.owed.values():
             earlier = tuple((at, bool(void)) for at, void in owed.trips)
-            stop = START + owed.hard_stop // 2
+            stop = START + owed.deadline // 2
             engine.engine.add_packet(
                 engine.now, owed, SERVICE_CLASS, TENANT, 0, stop, owed.destination, earlier
             )
--- a/millweir/lab/scale/network.py
+++ b/millweir/lab/scale/network.py
@@ -16,8 +16,8 @@
 from millweir.net import clock
 from millweir.net.config import Config
 from millweir.net.counters import Counters
-from millweir.net.desk import Desk
-from millweir.net.discovery import read_list
+from millweir.net.desk import RelayServer
+from millweir.net.discovery import decode_host_list
 from millweir.net.journal import Journal, OwedMessage
 from millweir.net.log import Log
 
@@ -62,9 +62,9 @@
             state=self._folder,
             seed=self._seed,
             limits=LIMITS,
-            known={"index": 0, "endpoints": []},
+            cached_list={"index": 0, "endpoints": []},
             settings=given,
-            given=SETTINGS,
+            raw_settings=SETTINGS,
         )
         self.engine: DecisionEngine[OwedMessage] = DecisionEngine(
             given, LIMITS, self._seed, clock.monotonic_ns()
@@ -73,14 +73,14 @@
         self._journal = Journal(
             self._folder, bounds.max_journal_file_bytes, bounds.max_journal_live_bytes, log.info
         )
-        self.desk = Desk(loop, config, self.engine, self._journal, log, Counters())
-        self.desk._told(Change.FULL, read_list(whole, given))
+        self.server = RelayServer(loop, config, self.engine, self._journal, log, Counters())
+        self.server._receive_update(Change.FULL, decode_host_list(whole, given))
         self.engine.tick(clock.monotonic_ns())
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        self.desk.stop()
-        self.desk.close()
+        self.server.stop()
+        self.server.close()
         self._journal.close()
         self._silent.close()
         for task in asyncio.all_tasks() - {asyncio.current_task()}:
@@ -90,10 +90,10 @@
 
     def walk_in_python(self) -> None:
         """From here on, each entry of a table that is visited counts among the instructions."""
-        for owner in (self.engine._relay, self.engine, self.desk, self.desk._hosts):
+        for owner in (self.engine._relay, self.engine, self.server, self.server._hosts):
             walk_in_python(owner)
-        walk_in_python(self.desk._waits)
-        walk_in_python(self.desk._cordons)
+        walk_in_python(self.server._retry_after_waits)
+        walk_in_python(self.server._cordons)
 
     def change(self, number: int, phase: Phase) -> bytes:
         """What discovery says when one entry has changed."""
@@ -101,16 +101,20 @@
 
     def hear(self, told: bytes) -> None:
         """Discovery has said that."""
-        self.desk._told(Change.DELTA, read_list(json.loads(told), self.desk._classes.settings))
+        self.server._receive_update(
+            Change.DELTA, decode_host_list(json.loads(told), self.server._service_classes.settings)
+        )
 
     def fill_waits(self, count: int) -> None:
         """So many hosts have told a process beside this one to wait, which wrote it down."""
         now = clock.to_wall(clock.monotonic_ns())
         waits = {host_name(number).decode(): now + LONG_WAIT for number in range(count)}
-        self.desk._waits._merge(waits)
+        self.server._retry_after_waits._merge(waits)
 
     def told_wait(self, meter: AbstractContextManager) -> None:
         """A host tells this process to wait, longer each time."""
         self._told_waits += 1
         with meter:
-            self.desk._waits.told(host_name(self.size - 1).decode(), self._told_waits * SECOND)
+            self.server._retry_after_waits.record_wait(
+                host_name(self.size - 1).decode(), self._told_waits * SECOND
+            )
--- a/millweir/lab/scenario.py
+++ b/millweir/lab/scenario.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from millweir.operator.units import Span, decode
+from millweir.operator.units import Duration, decode_unit
 
 SECOND = 1_000_000_000
 # "roll" is a planned restart: SIGTERM, then SIGKILL when the platform sends it at the earliest; "kill-twice"
@@ -24,8 +24,8 @@
 class Fault(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
     """One fault: `who` for processes; `start` and `end` for links (all pairs between the two sets)."""
 
-    at: Span
-    span: Span = Span(0)  # how long; a kill's is until the relay starts again, 0 for never
+    at: Duration
+    span: Duration = Duration(0)  # how long; a kill's is until the relay starts again, 0 for never
     kind: str
     who: tuple[str, ...] = ()  # relays, or hosts (h0, h1, ...)
     start: tuple[str, ...] = ()
@@ -33,7 +33,7 @@
     share: float = (
         0.3  # of loss and duplicates; of the processor that a starved one keeps; told by a shut host
     )
-    wait: Span = Span(0)  # delay, reordering, half a period of flapping, slowness of a start
+    wait: Duration = Duration(0)  # delay, reordering, half a period of flapping, slowness of a start
     bytes_second: float = 20_000.0
     hours: float = 1.0  # skew
 
@@ -50,13 +50,13 @@
     """What is played."""
 
     relays: int = 5
-    span: Span = Span(60 * SECOND)
-    calm: Span = Span(20 * SECOND)  # at the end, without faults
+    span: Duration = Duration(60 * SECOND)
+    calm: Duration = Duration(20 * SECOND)  # at the end, without faults
     hosts: int = 4
     rate: float = 20.0  # packets a second, all relays together
-    interval: Span = Span(SECOND)  # of the members' probes
+    interval: Duration = Duration(SECOND)  # of the members' probes
     suspicion: float = 5.0
-    doubt_most: Span = Span(120 * SECOND)
+    doubt_most: Duration = Duration(120 * SECOND)
     key: bool = True
     bundle: int = 1  # messages in a call
     crowd: int = 0  # idle connections of clients at each relay
@@ -66,7 +66,7 @@
     protocols: dict[str, int] = {}  # relay: highest version of the members' protocol
     fault: tuple[Fault, ...] = ()
     compose: tuple[str, ...] = ()  # kinds drawn by the seed, besides those above
-    every: Span = Span(15 * SECOND)  # mean between drawn faults
+    every: Duration = Duration(15 * SECOND)  # mean between drawn faults
 
     @property
     def names(self) -> tuple[str, ...]:
@@ -75,7 +75,7 @@
 
 def read_scenario(path: Path) -> Scenario:
     """ValueError says what is wrong."""
-    return msgspec.convert(tomllib.loads(path.read_text()), Scenario, dec_hook=decode)
+    return msgspec.convert(tomllib.loads(path.read_text()), Scenario, dec_hook=decode_unit)
 
 
 def timeline(scenario: Scenario, seed: int) -> list[Fault]:
@@ -92,28 +92,28 @@
 def _drawn(scenario: Scenario, chance: random.Random, at: int) -> Fault:
     kind = chance.choice(scenario.compose)
     most = (scenario.span - scenario.calm - at) / SECOND
-    span = Span(round(min(chance.choice((2.0, 5.0, 10.0, 20.0)), most) * SECOND))
+    span = Duration(round(min(chance.choice((2.0, 5.0, 10.0, 20.0)), most) * SECOND))
     names = list(scenario.names)
     chance.shuffle(names)
     if kind in PROCESS:
         # Killed ones stay away long enough to be found, half of the fleet at the most.
         count = 1 if kind in ("term", "full", "slow", "skew") else chance.randint(1, max(1, len(names) // 2))
         if kind in ("kill", "lose", "term"):
-            span = Span(round(min(chance.uniform(15, 30), max(most, 1)) * SECOND))
+            span = Duration(round(min(chance.uniform(15, 30), max(most, 1)) * SECOND))
         elif kind in ("roll", "kill-twice"):
-            span = Span(round(0.6 * SECOND))  # from the kill to the next start
+            span = Duration(round(0.6 * SECOND))  # from the kill to the next start
         return Fault(
-            at=Span(at),
+            at=Duration(at),
             span=span,
             kind=kind,
             who=tuple(names[:count]),
             share=chance.choice((0.1, 0.3)),
-            wait=Span(2 * SECOND),
+            wait=Duration(2 * SECOND),
             hours=chance.choice((-1.0, 1.0)),
         )
     if kind in HOST:
         hosts = chance.sample(range(scenario.hosts), chance.randint(1, max(1, scenario.hosts // 2)))
-        return Fault(at=Span(at), span=span, kind=kind, who=tuple(f"h{host}" for host in hosts))
+        return Fault(at=Duration(at), span=span, kind=kind, who=tuple(f"h{host}" for host in hosts))
     side = chance.randint(1, len(names) - 1)
     start, end = tuple(names[:side]), tuple(names[side:])
     if kind in ("cut", "cut-one-way", "flap"):
@@ -122,5 +122,11 @@
         start = end = tuple(scenario.names)
     wait = {"flap": SECOND, "delay": round(chance.choice((0.05, 0.3)) * SECOND), "reorder": SECOND // 5}
     return Fault(
-        at=Span(at), span=span, kind=kind, start=start, end=end, share=0.3, wait=Span(wait.get(kind, 0))
+        at=Duration(at),
+        span=span,
+        kind=kind,
+        start=start,
+        end=end,
+        share=0.3,
+        wait=Duration(wait.get(kind, 0)),
     )
--- a/millweir/members/events.py
+++ b/millweir/members/events.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from millweir.operator.events import Event, table
+from millweir.operator.events import Event, index_event_types
 
 
 class Entered(Event, tag="members.entered"):
@@ -50,4 +50,6 @@
     told: int
 
 
-KINDS = table(Entered, Changed, WokeLate, Refuted, NameLost, TableFull, RefusedOnce, FolderFailed, Left)
+KINDS = index_event_types(
+    Entered, Changed, WokeLate, Refuted, NameLost, TableFull, RefusedOnce, FolderFailed, Left
+)
--- a/millweir/members/part.py
+++ b/millweir/members/part.py
@@ -21,10 +21,10 @@
 from millweir.members.seal import Seal
 from millweir.members.section import Members
 from millweir.members.view import Change, Degree, Standing
-from millweir.operator.events import Events
+from millweir.operator.events import EventLog
 from millweir.operator.units import address
 
-FILE = "members.json"
+FILE_NAME = "members.json"
 SAVE_EVERY = 10.0  # seconds between looks whether the others' addresses have changed
 LEAVE_TIME = 0.4  # seconds in which a leave is told
 CALL_MOST = 4096  # bytes of a call on the local socket
@@ -82,7 +82,7 @@
         birth = secrets.randbits(62)
         versions = VERSIONS[0], section.protocol
         host, port = address(section.advertise or section.listen)
-        self.events = Events(KINDS)
+        self.events = EventLog(KINDS)
         self._kept = self._read_kept()
         claim = Claim(
             self._name,
@@ -144,7 +144,7 @@
         if self.core and self.core.standing is not Standing.LEAVING:
             self.core.leave(now())
             self._left_at = now()
-            self.events.say("members.left", told=self.core.alive)
+            self.events.emit("members.left", told=self.core.alive)
 
     async def stop(self) -> None:
         if self.core:
@@ -175,7 +175,7 @@
         self._timer = self._loop.call_later(max(at - now(), 0) / 1e9, self._woken)
 
     def changed(self, change: Change) -> None:
-        self.events.say(
+        self.events.emit(
             "members.changed",
             name=change.name,
             before=change.before and change.before.value,
@@ -189,7 +189,7 @@
         self._save()
 
     def say(self, event: str, **fields: Any) -> None:
-        self.events.say(event, **fields)
+        self.events.emit(event, **fields)
 
     # What the links tell.
 
@@ -209,30 +209,30 @@
         return self.core.whole(high)
 
     def _refused(self, reason: str, peer: str) -> None:
-        self.events.say("members.refused", reason=reason, peer=peer)
+        self.events.emit("members.refused", reason=reason, peer=peer)
 
     # The folder.
 
     def _read_kept(self) -> Kept:
         """From an earlier life; one that can't be read is as none: the others know the incarnation."""
         try:
-            kept = msgspec.json.decode((self._folder / FILE).read_bytes(), type=Kept)
+            kept = msgspec.json.decode((self._folder / FILE_NAME).read_bytes(), type=Kept)
             if kept.name == self._name and 0 <= kept.incarnation < 1 << 62:
                 return kept
         except FileNotFoundError:
             pass
         except (OSError, msgspec.DecodeError) as fault:
-            self.events.say("members.folder-failed", fault=str(fault)[:200])
+            self.events.emit("members.folder-failed", fault=str(fault)[:200])
         return Kept(self._name, 0)
 
     def _save(self) -> None:
-        path = self._folder / FILE
+        path = self._folder / FILE_NAME
         fresh = path.with_suffix(".new")
         try:
             fresh.write_bytes(msgspec.json.encode(self._kept))
             fresh.replace(path)
         except OSError as fault:
-            self.events.say("members.folder-failed", fault=str(fault)[:200])
+            self.events.emit("members.folder-failed", fault=str(fault)[:200])
 
     def _save_later(self) -> None:
         contacts = self.core.some_contacts(REMEMBERED)
--- a/millweir/members/section.py
+++ b/millweir/members/section.py
@@ -9,7 +9,7 @@
 from millweir.members.messages import NAME_MOST, VERSIONS
 from millweir.members.rules import BYTES_SECOND, Rules
 from millweir.operator.file import Section
-from millweir.operator.units import Place, Size, Span, address
+from millweir.operator.units import ByteSize, Duration, SocketAddress, address
 
 SECOND = 1_000_000_000
 
@@ -31,24 +31,24 @@
     }
 
     cluster: str
-    listen: Place
-    advertise: Place | None = None  # where others reach this member, if not at `listen`
+    listen: SocketAddress
+    advertise: SocketAddress | None = None  # where others reach this member, if not at `listen`
     name: str = ""  # the relay's own where it is empty
-    seeds: tuple[Place, ...] = ()
+    seeds: tuple[SocketAddress, ...] = ()
     key_file: str = ""  # one key a line, the first one signs
     place: str = ""  # building/machine
-    interval: Span = Span(SECOND)
-    timeout: Span = Span(SECOND // 2)
+    interval: Duration = Duration(SECOND)
+    timeout: Duration = Duration(SECOND // 2)
     suspicion: float = 5.0  # intervals from suspicion to gone, at the least
     helpers: int = 3
     members_most: int = 4096
-    contact_every: Span = Span(5 * SECOND)
-    doubt_most: Span = Span(120 * SECOND)
-    datagram_most: Size = Size(1200)
-    bytes_most: Size = Size(256 << 10)  # a second, sent; and read of datagrams
+    contact_every: Duration = Duration(5 * SECOND)
+    doubt_most: Duration = Duration(120 * SECOND)
+    datagram_most: ByteSize = ByteSize(1200)
+    bytes_most: ByteSize = ByteSize(256 << 10)  # a second, sent; and read of datagrams
     protocol: int = VERSIONS[1]  # the highest version spoken
     socket: str = ""  # `members.sock` in the relay's folder where it is empty
-    via: dict[str, Place] = {}  # addresses that this member reaches by another way
+    via: dict[str, SocketAddress] = {}  # addresses that this member reaches by another way
 
     def faults(self) -> list[tuple[str, str]]:
         found = []
--- a/millweir/net/__init__.py
+++ b/millweir/net/__init__.py
@@ -1,1 +1,1 @@
-"""The relay on sockets: each file has one job."""
+"""The relay's network code and its files on disk."""
--- a/millweir/net/cold_hosts.py
+++ b/millweir/net/cold_hosts.py
@@ -1,8 +1,9 @@
-"""What a relay knows of outages outlasts its process, and is shared with a process beside it (rule 4).
+"""Stores which hosts are recovering from an outage, across restarts and for a concurrent process.
 
-A process that has forgotten an outage sends what it owes as if nothing were known; a fleet that is restarted
-then pushes over whatever comes back.  So the hosts that are cold, or whose last call went wrong, are kept in
-one file of the folder, written aside and renamed, soon after each change.
+A process that has forgotten an outage sends what it owes as if nothing had happened; a fleet that is
+restarted then overloads every host that comes back.  So the hosts in slow start, and those whose last call
+failed, are kept in one file of the state folder, which is replaced atomically soon after each change (rule
+4).
 """
 
 from __future__ import annotations
@@ -20,54 +21,53 @@
 from millweir.net import clock
 from millweir.net.log import Log
 
-FILE = "cold_hosts.json"
-WRITE_AFTER = 0.05  # seconds from a change to its record
-WRITE_AGAIN_AFTER = 0.5  # seconds, where the folder takes no writes
-HOSTS_MOST = 8192  # kept of those that no list has named yet
+FILE_NAME = "cold_hosts.json"
+WRITE_DELAY_SECONDS = 0.05  # from a change to its record
+WRITE_RETRY_SECONDS = 0.5  # where the folder takes no writes
+MAX_UNLISTED_HOSTS = 8192  # kept of those that no list has named yet
 
 
 class Unreadable(Exception):
-    """The file is not one of cold hosts; the text says why."""
+    """The file holds no valid record of recovering hosts; the text says why."""
 
 
 @dataclass(frozen=True, slots=True)
-class ColdHostsFile:
-    """What such a file holds."""
+class RecoveringHostsFile:
+    """The decoded content of the file."""
 
-    written_at: int  # steady time; 0 where it is of another boot
+    written_at: int  # monotonic time; 0 where it is of another boot
     hosts: list[RecoveringHost]
 
 
-def decode_cold_hosts(raw: bytes, boot: str, now: int) -> ColdHostsFile:
-    """Such a file; Unreadable where it is none.
+def decode_recovering_hosts(raw: bytes, boot: str, now: int) -> RecoveringHostsFile:
+    """Decode the file of recovering hosts; Unreadable where it is invalid.
 
-    Its times are those of the steady clock, which mean nothing in another boot: what is known of a host then
-    counts as seen now, and its slow start begins anew.
+    Its times are monotonic and mean nothing in another boot: each host then counts as seen now, and its slow
+    start begins anew.
     """
     try:
-        given = json.loads(raw)
-        same_boot = bool(boot) and given["boot"] == boot
-        written_at = int(given["written_at"])
-        hosts = [_decode_host(name, *row) for name, row in given["hosts"].items()]
-    except (ValueError, TypeError, KeyError, AttributeError, RecursionError) as fault:
-        raise Unreadable(repr(fault)) from fault
+        document = json.loads(raw)
+        same_boot = bool(boot) and document["boot"] == boot
+        written_at = int(document["written_at"])
+        hosts = [_decode_host(name, *row) for name, row in document["hosts"].items()]
+    except (ValueError, TypeError, KeyError, AttributeError, RecursionError) as error:
+        raise Unreadable(repr(error)) from error
     if same_boot:
-        return ColdHostsFile(written_at, hosts)
-    return ColdHostsFile(0, [replace(host, last_failure_at=now, recovered_at=0) for host in hosts])
+        return RecoveringHostsFile(written_at, hosts)
+    return RecoveringHostsFile(0, [replace(host, last_failure_at=now, recovered_at=0) for host in hosts])
 
 
 def _decode_host(
     name: str, last_failure_at: int, slow_start_rate: float, recovered_at: int, limit: float
 ) -> RecoveringHost:
-    if not all(0 <= figure < 1 << 63 for figure in (last_failure_at, slow_start_rate, recovered_at, limit)):
+    if not all(0 <= value < 1 << 63 for value in (last_failure_at, slow_start_rate, recovered_at, limit)):
         raise ValueError(f"figures out of range for {name[:80]!r}")
     return RecoveringHost(
         name.encode(), int(last_failure_at), float(slow_start_rate), int(recovered_at), float(limit)
     )
 
 
-def encode_cold_hosts(hosts: Iterable[RecoveringHost], boot: str, now: int) -> bytes:
-    """The content of such a file."""
+def encode_recovering_hosts(hosts: Iterable[RecoveringHost], boot: str, now: int) -> bytes:
     rows = {
         host.host.decode(): (host.last_failure_at, host.slow_start_rate, host.recovered_at, host.limit)
         for host in hosts
@@ -76,22 +76,22 @@
     return json.dumps(content, separators=(",", ":")).encode()
 
 
-class KnownColdHosts:
-    """The file and what the decisions know, kept in step."""
+class RecoveringHostStore:
+    """Keeps the file and the decision engine's state of recovering hosts in step."""
 
     __slots__ = (
         "_boot",
         "_engine",
-        "_fresh",
+        "_last_mtime_ns",
         "_log",
         "_loop",
         "_path",
-        "_read_at",
+        "_request_turn",
+        "_temporary_path",
         "_timer",
         "_unlisted",
-        "_wake",
-        "_written",
         "_written_at",
+        "_written_changes",
     )
 
     def __init__(
@@ -100,71 +100,71 @@
         folder: Path,
         slot: int,
         engine: DecisionEngine[Any],
-        wake: Callable[[], None],
+        request_turn: Callable[[], None],
         log: Log,
     ) -> None:
         """`slot` is this process's own among those that share the folder."""
-        self._loop, self._path, self._engine = loop, folder / FILE, engine
-        self._fresh = self._path.with_suffix(f".{slot}.new")
-        self._wake, self._log = wake, log
+        self._loop, self._path, self._engine = loop, folder / FILE_NAME, engine
+        self._temporary_path = self._path.with_suffix(f".{slot}.new")
+        self._request_turn, self._log = request_turn, log
         self._boot = clock.read_boot_id().hex()
-        self._unlisted: dict[str, RecoveringHost] = {}  # read, of hosts that no list has named yet
-        self._written_at = 0  # of the file, when it was read last
-        self._read_at = 0  # the file's time of change when it was read or written last
-        self._written = engine.recovering_changes
+        self._unlisted: dict[str, RecoveringHost] = {}  # hosts of the file that no list has named yet
+        self._written_at = 0  # when the file that was read last had been written
+        self._last_mtime_ns = 0  # modification time of the file when it was read or written last
+        self._written_changes = engine.recovering_changes
         self._timer: asyncio.TimerHandle | None = None
 
-    def read(self) -> None:
-        """Take what an earlier life, or a process beside this one, has written since the last look."""
+    def read_file(self) -> None:
+        """Apply what was written before the restart, or by a concurrent process, since the last read."""
         try:
             changed_at = self._path.stat().st_mtime_ns
-            if changed_at == self._read_at:
+            if changed_at == self._last_mtime_ns:
                 return
-            self._read_at = changed_at
-            content = decode_cold_hosts(self._path.read_bytes(), self._boot, clock.monotonic_ns())
+            self._last_mtime_ns = changed_at
+            content = decode_recovering_hosts(self._path.read_bytes(), self._boot, clock.monotonic_ns())
         except FileNotFoundError:
             return
-        except (OSError, Unreadable) as fault:
-            self._log.always(f"cold-hosts-unreadable {str(fault)[:200]}")
+        except (OSError, Unreadable) as error:
+            self._log.always(f"cold-hosts-unreadable {str(error)[:200]}")
             return
         hosts, self._written_at = content.hosts, content.written_at
         self._log.info(f"cold-hosts-read hosts={len(hosts)}")
-        self._unlisted |= {host.host.decode(): host for host in hosts[-HOSTS_MOST:]}
-        self.bind(list(self._unlisted))
+        self._unlisted |= {host.host.decode(): host for host in hosts[-MAX_UNLISTED_HOSTS:]}
+        self.apply_to_hosts(list(self._unlisted))
         if not {host.host for host in self._engine.list_recovering_hosts()} <= {host.host for host in hosts}:
-            self._write_later(WRITE_AFTER)  # the process beside this one knew less
-        self._wake()
+            self._schedule_write(WRITE_DELAY_SECONDS)  # the concurrent process knew fewer hosts
+        self._request_turn()
 
-    def bind(self, hosts: Iterable[str]) -> None:
-        """Tell the decisions of these hosts: they may be listed now, and unknown when the file was read.
+    def apply_to_hosts(self, hosts: Iterable[str]) -> None:
+        """Pass these hosts' state to the engine: they may not have been listed when the file was read.
 
-        Growth: with the hosts given, not with those in the list or the file.
+        Takes time in proportion to the hosts given, not to those in the list or the file.
         """
         now = clock.monotonic_ns()
         for name in hosts:
-            cold = self._unlisted.get(name)
-            if cold and self._engine.restore_host(now, cold):
+            recovering = self._unlisted.get(name)
+            if recovering and self._engine.restore_host(now, recovering):
                 del self._unlisted[name]
 
-    def missed(self, failed_at: int) -> bool:
-        """Whether a call that failed then may have failed after the last record here.
+    def may_have_missed(self, failed_at: int) -> bool:
+        """Whether a call that failed at that time may have failed after the last record in the file.
 
-        Guards a kill in the moment of a failure, and a folder that took the journal's record alone.
+        This happens after a kill in the moment of a failure, or where the folder took only the journal's
+        record.
         """
         return failed_at > self._written_at
 
-    def note_changes(self) -> None:
-        """After each turn: what has changed is written soon."""
-        if self._engine.recovering_changes != self._written:
-            self._write_later(WRITE_AFTER)
+    def schedule_write_if_changed(self) -> None:
+        if self._engine.recovering_changes != self._written_changes:
+            self._schedule_write(WRITE_DELAY_SECONDS)
 
     def close(self) -> None:
-        """The end of this process: what is not written yet is written now."""
+        """Write what is not written yet, at the end of the process."""
         if self._timer:
             self._timer.cancel()
             self._write()
 
-    def _write_later(self, delay: float) -> None:
+    def _schedule_write(self, delay: float) -> None:
         if not self._timer:
             self._timer = self._loop.call_later(delay, self._write)
 
@@ -173,11 +173,11 @@
         changes = self._engine.recovering_changes
         hosts = [*self._unlisted.values(), *self._engine.list_recovering_hosts()]
         try:
-            self._fresh.write_bytes(encode_cold_hosts(hosts, self._boot, clock.monotonic_ns()))
-            os.replace(self._fresh, self._path)
-            self._read_at = self._path.stat().st_mtime_ns
-        except OSError as fault:
-            self._log.info(f"cold-hosts-unwritten {fault}")
-            self._write_later(WRITE_AGAIN_AFTER)
+            self._temporary_path.write_bytes(encode_recovering_hosts(hosts, self._boot, clock.monotonic_ns()))
+            os.replace(self._temporary_path, self._path)
+            self._last_mtime_ns = self._path.stat().st_mtime_ns
+        except OSError as error:
+            self._log.info(f"cold-hosts-unwritten {error}")
+            self._schedule_write(WRITE_RETRY_SECONDS)
             return
-        self._written = changes
+        self._written_changes = changes
--- a/millweir/net/config.py
+++ b/millweir/net/config.py
@@ -1,4 +1,4 @@
-"""What the relay is told at start: environment variables and the file they name."""
+"""Reads the relay's configuration: environment variables and the file that RELAY_CONFIG names."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from millweir.interface import Limits, Settings
 from millweir.settings import parse_settings, validate_reloaded_settings
 
-MEGABYTE = 1 << 20
+BYTES_PER_MEGABYTE = 1 << 20
 
 
 class Misconfigured(Exception):
@@ -22,20 +22,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All that one relay is told."""
+    """The complete configuration of one relay."""
 
     name: str
     listen: tuple[str, int]
-    control: tuple[str, int] | None  # the second address, where there is one
+    control: tuple[str, int] | None  # the control address, where there is one
     discovery: tuple[str, int]
     state: Path
     seed: int
     limits: Limits
-    known: dict[str, Any]
+    cached_list: dict[str, Any]
     settings: Settings
-    given: dict[str, Any]  # the settings as the file had them, to check a later file against
-    path: Path = Path()  # the file that it was read from, and by which its later changes are known
-    stamp: tuple[int, int, int] = (0, 0, 0)
+    raw_settings: dict[str, Any]  # as the file had them, to check a reloaded file against
+    path: Path = Path()  # the file that it was read from
+    file_stamp: tuple[int, int, int] = (0, 0, 0)  # identifies the file's version, see `read_file_stamp`
 
 
 def read_address(text: object, what: str) -> tuple[str, int]:
@@ -46,37 +46,40 @@
     return host, int(port)
 
 
-def read_descriptors(told: int) -> int:
-    """How many descriptors this process may hold: what it is told, or the system's limit if lower."""
-    most, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    return told if most == resource.RLIM_INFINITY else min(told, most)
+def limit_descriptors(configured: int) -> int:
+    """The number of descriptors this process may hold: the configured one, or the system's limit if lower."""
+    system_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
+    return configured if system_limit == resource.RLIM_INFINITY else min(configured, system_limit)
 
 
-def config_stamp(path: Path) -> tuple[int, int, int]:
-    """By which a configuration that was replaced or written to is known; zeros where there is none."""
+def read_file_stamp(path: Path) -> tuple[int, int, int]:
+    """The inode, size and modification time of the file, which show a change; zeros where it is missing."""
     try:
-        found = path.stat()
+        status = path.stat()
     except OSError:
         return 0, 0, 0
-    return found.st_ino, found.st_size, found.st_mtime_ns
+    return status.st_ino, status.st_size, status.st_mtime_ns
 
 
-def read_config(environ: Mapping[str, str], again: bool = False, start: Config | None = None) -> Config:
-    """Read RELAY_CONFIG; at start the other variables win over what the file says.
+def read_config(
+    environ: Mapping[str, str], is_reload: bool = False, startup_config: Config | None = None
+) -> Config:
+    """Read RELAY_CONFIG; at startup the other variables take precedence over the file.
 
-    When it is read again, they still say what was so at the start: the file's word on discovery is newer.
+    On a reload the variables are as old as the process, so the file takes precedence for the discovery
+    address.
     """
     path = environ.get("RELAY_CONFIG")
     if not path:
         raise Misconfigured("RELAY_CONFIG is not set")
-    stamp = config_stamp(Path(path))
+    file_stamp = read_file_stamp(Path(path))
     try:
-        given = json.loads(Path(path).read_bytes())
-    except OSError as fault:
-        raise Misconfigured(f"RELAY_CONFIG can't be read: {fault}") from fault
-    except ValueError as fault:
-        raise Misconfigured(f"RELAY_CONFIG {path} is not JSON: {fault}") from fault
-    if not isinstance(given, dict):
+        document = json.loads(Path(path).read_bytes())
+    except OSError as error:
+        raise Misconfigured(f"RELAY_CONFIG can't be read: {error}") from error
+    except ValueError as error:
+        raise Misconfigured(f"RELAY_CONFIG {path} is not JSON: {error}") from error
+    if not isinstance(document, dict):
         raise Misconfigured(f"RELAY_CONFIG {path} holds no JSON object")
     state = environ.get("RELAY_STATE")
     if not state:
@@ -84,32 +87,36 @@
     if not os.path.isdir(state) or not os.access(state, os.W_OK):
         raise Misconfigured(f"RELAY_STATE {state} is no folder that can be written to")
     try:
-        if start is not None:
-            validate_reloaded_settings(given.get("settings"), start.given)
-        limits, known = given.get("limits") or {}, given.get("known") or {}
-        told = environ.get("RELAY_DISCOVERY")
-        discovery = given.get("discovery") or told if again else told or given.get("discovery")
+        if startup_config is not None:
+            validate_reloaded_settings(document.get("settings"), startup_config.raw_settings)
+        limits, cached_list = document.get("limits") or {}, document.get("known") or {}
+        environ_discovery = environ.get("RELAY_DISCOVERY")
+        discovery = (
+            document.get("discovery") or environ_discovery
+            if is_reload
+            else environ_discovery or document.get("discovery")
+        )
         return Config(
-            name=str(environ.get("RELAY_NAME") or given.get("name", "")),
-            listen=read_address(environ.get("RELAY_LISTEN") or given.get("listen"), "RELAY_LISTEN"),
+            name=str(environ.get("RELAY_NAME") or document.get("name", "")),
+            listen=read_address(environ.get("RELAY_LISTEN") or document.get("listen"), "RELAY_LISTEN"),
             control=(
                 read_address(control, "RELAY_CONTROL")
-                if (control := environ.get("RELAY_CONTROL") or given.get("control"))
+                if (control := environ.get("RELAY_CONTROL") or document.get("control"))
                 else None
             ),
             discovery=read_address(discovery, "RELAY_DISCOVERY"),
             state=Path(state),
             path=Path(path),
-            stamp=stamp,
-            seed=int(str(given.get("seed", "0")), 16),
+            file_stamp=file_stamp,
+            seed=int(str(document.get("seed", "0")), 16),
             limits=Limits(
-                read_descriptors(int(limits.get("sockets", 1024))),
-                int(limits.get("disk_mb", 1) * MEGABYTE),
-                int(limits.get("memory_mb", 64) * MEGABYTE),
+                limit_descriptors(int(limits.get("sockets", 1024))),
+                int(limits.get("disk_mb", 1) * BYTES_PER_MEGABYTE),
+                int(limits.get("memory_mb", 64) * BYTES_PER_MEGABYTE),
             ),
-            known=known,
-            settings=parse_settings(given["settings"]),
-            given=given["settings"],
+            cached_list=cached_list,
+            settings=parse_settings(document["settings"]),
+            raw_settings=document["settings"],
         )
-    except (KeyError, TypeError, ValueError, AttributeError) as fault:
-        raise Misconfigured(f"RELAY_CONFIG {path} can't be used: {fault!r}") from fault
+    except (KeyError, TypeError, ValueError, AttributeError) as error:
+        raise Misconfigured(f"RELAY_CONFIG {path} can't be used: {error!r}") from error
--- a/millweir/net/desk.py
+++ b/millweir/net/desk.py
@@ -1,4 +1,8 @@
-"""The desk joins the parts: in one turn it tells the facade what came in and carries out its decisions."""
+"""The relay's main object: feeds network input to the decision engine and carries out its decisions.
+
+Work happens in turns of the event loop: each turn hands the engine what has arrived and then executes what it
+decided.
+"""
 
 from __future__ import annotations
 
@@ -13,11 +17,11 @@
 from millweir.interface import MILLISECOND, Change, Outcome, Phase
 from millweir.net import clock
 from millweir.net.clients import ClientConnection, ClientListener
-from millweir.net.cold_hosts import KnownColdHosts
+from millweir.net.cold_hosts import RecoveringHostStore
 from millweir.net.config import Config
 from millweir.net.cordons import Cordons
 from millweir.net.counters import Counters
-from millweir.net.discovery import Garbled, News, Watch, read_list
+from millweir.net.discovery import DiscoveryWatch, HostListUpdate, InvalidHostList, decode_host_list
 from millweir.net.ended import EndedIds
 from millweir.net.heads import Request, parse_number
 from millweir.net.hosts import HostConnections
@@ -26,12 +30,12 @@
 from millweir.net.log import Log
 from millweir.net.notices import NotificationSender
 from millweir.net.replies import Reply, ReplyCounts
-from millweir.net.retry_after import SharedWaits
+from millweir.net.retry_after import RetryAfterStore
 from millweir.net.service_classes import ServiceClasses
 
 
-class Desk:
-    """One relay at work."""
+class RelayServer:
+    """One running relay: its connections, its state on disk and its decision engine."""
 
     def __init__(
         self,
@@ -45,89 +49,124 @@
         settings, bounds = config.settings, engine.bounds
         self._loop, self._engine, self._journal = loop, engine, journal
         self._log, self._counters, self._bounds = log, counters, bounds
-        self._classes = ServiceClasses(settings, engine)
-        self._tenants = {tenant.name.encode(): at for at, tenant in enumerate(settings.tenants)}
-        self._reports = settings.reports
-        self._discovery = config.discovery
+        self._service_classes = ServiceClasses(settings, engine)
+        self._tenant_numbers = {
+            tenant.name.encode(): number for number, tenant in enumerate(settings.tenants)
+        }
+        self._load_metrics = settings.reports
+        self._discovery_address = config.discovery
         self._owed: dict[bytes, OwedMessage] = {}
-        self._backlog: deque[OwedMessage] = deque()  # owed, and not handed in yet; in the order taken
-        self._ended = EndedIds(bounds.max_ended_ids)
-        self._scheduled = self._listed = self._leaving = self._lingered = self._quiet = False
+        self._backlog: deque[OwedMessage] = deque()  # owed but not submitted to the engine yet, oldest first
+        self._ended_ids = EndedIds(bounds.max_ended_ids)
+        self._turn_scheduled = self._has_host_list = self._shutting_down = self._linger_elapsed = (
+            self._quiesced
+        ) = False
         self._replies = ReplyCounts()
-        self._cordons = Cordons(config.state, engine, self.wake, log)
-        self._cold_hosts = KnownColdHosts(loop, journal.folder, journal.slot, engine, self.wake, log)
-        self._waits = SharedWaits(loop, journal.folder, journal.slot, engine, self.wake, log)
-        self.reloads = [0, 0]  # taken, turned down
-        self._alarm: asyncio.TimerHandle | None = None
-        self._alarm_at = 0
-        self._pulse = StallDetector(loop, bounds.client_grace_ns // 2)
-        self._lag = LoopLag(bounds.lag_window_ns, clock.monotonic_ns())
+        self._cordons = Cordons(config.state, engine, self.request_turn, log)
+        self._recovering_hosts = RecoveringHostStore(
+            loop, journal.folder, journal.slot, engine, self.request_turn, log
+        )
+        self._retry_after_waits = RetryAfterStore(
+            loop, journal.folder, journal.slot, engine, self.request_turn, log
+        )
+        self.reload_counts = [0, 0]  # accepted, rejected
+        self._timer: asyncio.TimerHandle | None = None
+        self._timer_at = 0
+        self._loop_pulse = StallDetector(loop, bounds.client_grace_ns // 2)
+        self._loop_lag = LoopLag(bounds.lag_window_ns, clock.monotonic_ns())
         self.stopped = loop.create_future()
-        self.clients = ClientListener(loop, bounds, self.wake, log, counters)
+        self.clients = ClientListener(loop, bounds, self.request_turn, log, counters)
         self._hosts = HostConnections(
-            loop, bounds, settings.connect_timeout, journal, engine.may_write, self._report, log, counters
+            loop,
+            bounds,
+            settings.connect_timeout,
+            journal,
+            engine.may_write,
+            self._record_outcome,
+            log,
+            counters,
+        )
+        self._notifications = NotificationSender(
+            loop, config.discovery, bounds, self._finish_message, log, counters
         )
-        self._notices = NotificationSender(loop, config.discovery, bounds, self._over, log, counters)
-        self._known_list = self._read_known(config)  # None once calls may go out
-        if self._known_list:
-            leaving = [replace(entry, phase=Phase.DRAINING) for entry in self._known_list.entries]
-            self._list(Change.CACHED, replace(self._known_list, entries=tuple(leaving)))
-            loop.call_later(bounds.startup_list_wait_ns / 1e9, clock.call_after_poll, loop, self._open)
-        self._cordons.read()
-        self._cold_hosts.read()  # before the waits: what is restored says how calls spread behind these
+        self._cached_list = self._decode_cached_list(config)  # None once calls may be sent
+        if self._cached_list:
+            draining = [replace(entry, phase=Phase.DRAINING) for entry in self._cached_list.entries]
+            self._apply_update(Change.CACHED, replace(self._cached_list, entries=tuple(draining)))
+            loop.call_later(
+                bounds.startup_list_wait_ns / 1e9, clock.call_after_poll, loop, self._use_cached_list
+            )
+        self._cordons.read_file()
+        # Before the retry-after waits: the restored state decides how calls spread once a wait has ended.
+        self._recovering_hosts.read_file()
         for message in list(journal.owed.values()):
-            self._restore(message)
-        self._adopt_later()
-        self._waits.start()
-        index = self._known_list.index if self._known_list else -1
-        self._watch = Watch(
-            loop, config.discovery, settings, bounds, index, self._told, engine.draw_back_off, log, counters
+            self._restore_message(message)
+        self._schedule_adoption()
+        self._retry_after_waits.start()
+        version = self._cached_list.version if self._cached_list else -1
+        self._watch = DiscoveryWatch(
+            loop,
+            config.discovery,
+            settings,
+            bounds,
+            version,
+            self._receive_update,
+            engine.draw_back_off,
+            log,
+            counters,
         )
-        self.wake()
+        self.request_turn()
 
-    def _read_known(self, config: Config) -> News | None:
-        """The list of an earlier life, None where it can't be used and the whole list is needed."""
+    def _decode_cached_list(self, config: Config) -> HostListUpdate | None:
+        """Decode the host list that was cached before the restart; None where it is unusable.
+
+        Without it, discovery is asked for the full list.
+        """
         try:
-            return read_list(config.known, config.settings)
-        except Garbled as fault:
-            self._log.info(f"known-list-unusable {str(fault)[:200]}")
+            return decode_host_list(config.cached_list, config.settings)
+        except InvalidHostList as error:
+            self._log.info(f"known-list-unusable {str(error)[:200]}")
             return None
 
-    def _open(self) -> None:
-        """Discovery was silent for so long: calls go out by the list of an earlier life.
+    def _use_cached_list(self) -> None:
+        """Send calls by the cached host list: discovery has not answered within the startup wait.
 
-        Guards rule 3 at a start: what the agent has counts as told from the first moment of the process.
-        Till now the hosts of that list were told as leaving: packets, restored ones too, are taken and wait.
+        Rule 3 (nothing new is sent to a draining host): a change that discovery holds counts as received from
+        the moment the process starts.  Until this point the hosts of the cached list are treated as draining,
+        so packets, restored ones included, are accepted and held.
         """
-        known, self._known_list = self._known_list, None
-        if known:
-            self._list(Change.CACHED, known)
+        cached, self._cached_list = self._cached_list, None
+        if cached:
+            self._apply_update(Change.CACHED, cached)
+
+    def _schedule_adoption(self) -> None:
+        self._loop.call_later(self._bounds.client_grace_ns / 1e9, self._adopt_orphans)
 
-    def _adopt_later(self) -> None:
-        self._loop.call_later(self._bounds.client_grace_ns / 1e9, self._adopt)
+    def _adopt_orphans(self) -> None:
+        """Take over what an ended process of the same folder still owed, as in an upgrade.
 
-    def _adopt(self) -> None:
-        """A process beside this one has ended: what it still owed is owed here (an upgrade, rule 1)."""
+        Rule 1 (every accepted message gets a final outcome).
+        """
         try:
-            orphans = self._journal.orphans()
-        except OSError as fault:
-            self._log.info(f"journal-failed adopt {fault}")
-            orphans = []
-        for message in orphans:
-            self._restore(message)
-        if orphans:
-            self._log.always(f"adopted owed={len(orphans)}")
-            clock.call_after_poll(self._loop, self.wake)
-        self._cordons.read(again=True)
-        self._cold_hosts.read()
-        self._adopt_later()
-
-    def healthy(self) -> bool:
-        """Ready to serve: a list is known, and it is neither leaving nor drained."""
-        return self._listed and not self._leaving and not self._quiet
-
-    def figures(self) -> dict[str, Any]:
-        """What the second address tells: counts since this process began, and what is so now."""
+            orphaned = self._journal.adopt_orphans()
+        except OSError as error:
+            self._log.info(f"journal-failed adopt {error}")
+            orphaned = []
+        for message in orphaned:
+            self._restore_message(message)
+        if orphaned:
+            self._log.always(f"adopted owed={len(orphaned)}")
+            clock.call_after_poll(self._loop, self.request_turn)
+        self._cordons.read_file(only_if_changed=True)
+        self._recovering_hosts.read_file()
+        self._schedule_adoption()
+
+    def is_ready(self) -> bool:
+        """Whether a host list is present and the relay is neither shutting down nor quiesced."""
+        return self._has_host_list and not self._shutting_down and not self._quiesced
+
+    def collect_counters(self) -> dict[str, Any]:
+        """The counters of the control address: totals since the process started, and current values."""
         targets, disabled = self._engine.count_hosts()
         counts = self._counters.counts
         return {
@@ -136,60 +175,64 @@
             "concurrent": len(self._owed),
             "targets": targets,
             "targets_disabled": disabled,
-            "reload_success": self.reloads[0],
-            "reload_failure": self.reloads[1],
+            "reload_success": self.reload_counts[0],
+            "reload_failure": self.reload_counts[1],
         }
 
-    def cordon(self, host: bytes, out: bool) -> str:
-        """By hand: the host out or back; '' or why it can't be done."""
-        return self._cordons.change(host, out)
+    def set_cordon(self, host: bytes, cordoned: bool) -> str:
+        """Cordon or uncordon a host by operator command; returns '' or why it is impossible."""
+        return self._cordons.set_cordon(host, cordoned)
 
     def quiesce(self) -> None:
-        """Send clients away: /ready says no, connections close after their answers; nothing is refused."""
-        if not self._quiet:
+        """Send clients away: /ready fails, connections close after their answers, no request is refused."""
+        if not self._quiesced:
             self._log.always("quiesce")
-        self._quiet = True
+        self._quiesced = True
         self.clients.draining = True
         self._loop.call_later(self._bounds.client_grace_ns / 1e9, self._close_idle)
 
     def _close_idle(self) -> None:
-        if self._quiet:
+        if self._quiesced:
             self.clients.close_idle("quiesced")
 
     def resume(self) -> None:
-        """The end of a drain: ready again."""
-        if self._quiet:
+        """End a quiesce: the relay is ready again."""
+        if self._quiesced:
             self._log.always("resume")
-        self._quiet = False
-        self.clients.draining = self._leaving
-
-    def _told(self, change: Change, news: News) -> None:
-        """News from discovery; a drain that the first of it tells of began in an earlier life."""
-        known, self._known_list = self._known_list, None
-        if known and change is Change.DELTA:
-            entries = {entry.host: entry for entry in (*known.entries, *news.entries)}
-            addresses = known.addresses | news.addresses
-            for name in news.gone:
+        self._quiesced = False
+        self.clients.draining = self._shutting_down
+
+    def _receive_update(self, change: Change, update: HostListUpdate) -> None:
+        """Apply an update from discovery.
+
+        A drain in the first update began before the restart: that update is merged into the cached list, and
+        the result is applied as a cached list.
+        """
+        cached, self._cached_list = self._cached_list, None
+        if cached and change is Change.DELTA:
+            entries = {entry.host: entry for entry in (*cached.entries, *update.entries)}
+            addresses = cached.addresses | update.addresses
+            for name in update.removed:
                 del entries[name.encode()]
                 addresses.pop(name, None)
-            news = replace(news, entries=tuple(entries.values()), addresses=addresses)
-        if known or not self._listed:
+            update = replace(update, entries=tuple(entries.values()), addresses=addresses)
+        if cached or not self._has_host_list:
             change = Change.CACHED
-        self._list(change, news)
+        self._apply_update(change, update)
 
-    def _list(self, change: Change, news: News) -> None:
-        self._listed = True
-        gone = news.gone if change is Change.DELTA else self._hosts.names_except(news.addresses)
-        self._hosts.update_addresses(news.addresses, gone)
+    def _apply_update(self, change: Change, update: HostListUpdate) -> None:
+        self._has_host_list = True
+        removed = update.removed if change is Change.DELTA else self._hosts.names_except(update.addresses)
+        self._hosts.update_addresses(update.addresses, removed)
         now = clock.monotonic_ns()
-        self._engine.update_hosts(now, change, news.entries, self._pulse.earliest_arrival(now))
-        self._cordons.bind(news.addresses)
-        self._cold_hosts.bind(news.addresses)
-        self._waits.bind(news.addresses)
-        self.wake()
-
-    def _restore(self, message: OwedMessage) -> None:
-        """What an earlier life took on is owed its end; known at once, handed in by the turns to come."""
+        self._engine.update_hosts(now, change, update.entries, self._loop_pulse.earliest_arrival(now))
+        self._cordons.apply_to_hosts(update.addresses)
+        self._recovering_hosts.apply_to_hosts(update.addresses)
+        self._retry_after_waits.apply_to_hosts(update.addresses)
+        self.request_turn()
+
+    def _restore_message(self, message: OwedMessage) -> None:
+        """Register a message accepted before the restart; later turns submit it to the engine."""
         message.restored = True
         self._owed[message.id] = message
         self._counters.add("packets_restored")
@@ -198,87 +241,96 @@
             f"ended={message.given_up is not None}"
         )
         if message.given_up:
-            self._notices.add(message)
+            self._notifications.add(message)
         else:
             self._backlog.append(message)
 
-    def _work_off_backlog(self) -> None:
-        """Hand in a part of the backlog.
+    def _submit_backlog(self) -> None:
+        """Submit a bounded number of messages of the backlog to the engine.
 
-        Guards a start on a short processor: with thousands of packets owed, clients and discovery are heard
-        between the parts.
+        With thousands of packets owed on a slow processor, clients and discovery are read between two
+        batches.
         """
         for _ in range(min(len(self._backlog), self._bounds.max_requests_per_turn)):
-            self._hand_in(self._backlog.popleft())
+            self._submit_message(self._backlog.popleft())
         if self._backlog:
-            self.wake()
+            self.request_turn()
 
     @property
-    def _room(self) -> int:
-        """How large a packet may be taken on; the module does not count the backlog as open yet."""
-        full = self._backlog and 0 < self._classes.settings.max_open <= len(self._owed)
-        return 0 if full else self._journal.room
+    def _free_bytes(self) -> int:
+        """The largest packet that may be accepted; the engine does not count the backlog as open yet."""
+        full = self._backlog and 0 < self._service_classes.settings.max_open <= len(self._owed)
+        return 0 if full else self._journal.free_bytes
 
-    def _hand_in(self, message: OwedMessage) -> None:
+    def _submit_message(self, message: OwedMessage) -> None:
         tenant, now = (
-            self._tenants.get(message.account, len(self._tenants)),
+            self._tenant_numbers.get(message.account, len(self._tenant_numbers)),
             clock.to_wall(clock.monotonic_ns()),
         )
-        # Guards rule 2 where the wall clock was set back: a trip out at a time to come may be of any age.
-        trips = tuple((clock.from_wall(at if at <= now else 0), bool(void)) for at, void in message.trips)
+        # Rule 2 (no message takes effect twice): a trip dated in the future shows that the wall clock was set
+        # back, so its age is unknown and it counts as sent at time 0.
+        trips = tuple(
+            (clock.from_wall(sent_at if sent_at <= now else 0), bool(never_ran))
+            for sent_at, never_ran in message.trips
+        )
         self._engine.add_packet(
             clock.monotonic_ns(),
             message,
-            self._classes.number(message.profile),
+            self._service_classes.get_number(message.profile),
             tenant,
             int.from_bytes(message.key),
-            clock.from_wall(message.hard_stop),
+            clock.from_wall(message.deadline),
             message.destination,
             trips,
             message.restored,
         )
-        failed_at = max((at for at, void in trips if void), default=0) if message.restored else 0
-        if failed_at and self._cold_hosts.missed(failed_at):
+        failed_at = (
+            max((sent_at for sent_at, never_ran in trips if never_ran), default=0) if message.restored else 0
+        )
+        if failed_at and self._recovering_hosts.may_have_missed(failed_at):
             self._engine.report_earlier_failure(clock.monotonic_ns(), message.destination, failed_at)
 
-    def wake(self) -> None:
-        """Have a turn once all that has come in by now is read."""
-        if not self._scheduled:
-            self._scheduled = True
-            self._loop.call_soon(self._turn)
+    def request_turn(self) -> None:
+        """Schedule a turn after all input that is already readable has been read."""
+        if not self._turn_scheduled:
+            self._turn_scheduled = True
+            self._loop.call_soon(self._run_turn)
 
-    def _turn(self) -> None:
-        self._scheduled = False
-        began = clock.monotonic_ns()
+    def _run_turn(self) -> None:
+        self._turn_scheduled = False
+        began_at = clock.monotonic_ns()
         try:
-            self._work()
+            self._run_turn_steps()
         except Exception:  # one bad packet must not end the service for the others
             self._counters.add("faults")
             self._log.always(f"fault {traceback.format_exc()!r}")
-            self._loop.call_later(self._bounds.retry_interval_ns / 1e9, self.wake)
+            self._loop.call_later(self._bounds.retry_interval_ns / 1e9, self.request_turn)
         now = clock.monotonic_ns()
-        self._lag.record(now, now - began)  # what came meanwhile is not read yet
+        self._loop_lag.record(now, now - began_at)  # input that arrived during the turn has not been read yet
 
-    def _ring(self) -> None:
+    def _on_timer(self) -> None:
         now = clock.monotonic_ns()
-        self._lag.record(now, now - self._alarm_at)
-        self._alarm_at = 0
-        clock.call_after_poll(self._loop, self.wake)
+        self._loop_lag.record(now, now - self._timer_at)
+        self._timer_at = 0
+        clock.call_after_poll(self._loop, self.request_turn)
+
+    def _run_turn_steps(self) -> None:
+        """Process timers before other work; the input and the calls handled in one turn are bounded.
 
-    def _work(self) -> None:
-        """What is due goes first; how much of what has come in and goes out it may wait for is bounded."""
+        The bounds limit how long a due timer can wait.
+        """
         for _ in range(min(len(self.clients.received_requests), self._bounds.max_requests_per_turn)):
-            link, request = self.clients.received_requests.popleft()
+            connection, request = self.clients.received_requests.popleft()
             try:
-                self._answer(link, request)
+                self._answer_request(connection, request)
             except Exception:
-                link.close_gracefully("fault")
+                connection.close_gracefully("fault")
                 raise
-        self._work_off_backlog()
-        due = self._engine.tick(clock.monotonic_ns())
+        self._submit_backlog()
+        due_at = self._engine.tick(clock.monotonic_ns())
         while ending := self._engine.pop_ended():
-            self._give_up(ending)
-        self._notices.send_pending()
+            self._end_undelivered(ending)
+        self._notifications.send_pending()
         while part := self._engine.pop_cancelled():
             self._hosts.abandon(part)
         while change := self._engine.pop_transition():
@@ -286,66 +338,71 @@
                 f"host-state peer={change.host.decode()} state={change.state.value} "
                 f"cause={change.cause!r} pace={change.slow_start_rate:.4f}"
             )
-        while name := self._engine.pop_idle_host():
-            self._hosts.close_idle(name)
+        while host_name := self._engine.pop_idle_host():
+            self._hosts.close_idle(host_name)
         for _ in range(self._bounds.max_calls_per_turn):
             if not (job := self._engine.pop_job()):
                 break
             self._hosts.start_call(job)
         else:
-            self.wake()
+            self.request_turn()
         if self.clients.received_requests:
-            self.wake()
+            self.request_turn()
         self._hosts.close_expired()
-        self._cold_hosts.note_changes()
-        if due != self._alarm_at:
-            if self._alarm:
-                self._alarm.cancel()
-            self._alarm_at, self._alarm = due, None
-            if due:
-                self._alarm = self._loop.call_later(max(0, due - clock.monotonic_ns()) / 1e9, self._ring)
-        if self._lingered and not (self._journal.owed or self._notices.busy):
+        self._recovering_hosts.schedule_write_if_changed()
+        if due_at != self._timer_at:
+            if self._timer:
+                self._timer.cancel()
+            self._timer_at, self._timer = due_at, None
+            if due_at:
+                self._timer = self._loop.call_later(
+                    max(0, due_at - clock.monotonic_ns()) / 1e9, self._on_timer
+                )
+        if self._linger_elapsed and not (self._journal.owed or self._notifications.busy):
             self.stop()
 
-    def _answer(self, link: ClientConnection, request: Request) -> None:
-        if link.reason or not link.open:  # its client closed before it heard: not taken on
-            link.pending_requests -= 1
+    def _answer_request(self, connection: ClientConnection, request: Request) -> None:
+        if connection.reason or not connection.open:  # the client closed before its answer: not accepted
+            connection.pending_requests -= 1
             self._counters.add("requests_withdrawn")
             return
         path = request.url.partition(b"?")[0]
         if request.error_status:
             self._counters.add("requests_malformed")
-            link.respond(request, request.error_status)
+            connection.respond(request, request.error_status)
         elif path == b"/ready":
-            link.respond(request, 200 if self.healthy() else 503)
-        elif path == b"/counters":  # the figures as the second address tells them
-            link.respond(request, 200, json.dumps(self.figures(), separators=(",", ":")).encode())
-        elif path == b"/counters/all":  # every count, a line each
-            link.respond(request, 200, self._counters.encode_lines())
+            connection.respond(request, 200 if self.is_ready() else 503)
+        elif path == b"/counters":  # the same counters as the control address
+            connection.respond(
+                request, 200, json.dumps(self.collect_counters(), separators=(",", ":")).encode()
+            )
+        elif path == b"/counters/all":  # every counter, one a line
+            connection.respond(request, 200, self._counters.encode_lines())
         elif path != b"/api" or request.method != b"POST":
-            link.respond(request, 404 if path != b"/api" else 405)
+            connection.respond(request, 404 if path != b"/api" else 405)
         elif (
             not request.id
             or request.remaining_time < 0
             or request.destination < 0
-            or request.profile not in self._classes
+            or request.profile not in self._service_classes
         ):
             self._counters.add("requests_malformed")
             if request.profile:
                 self._replies.add_unknown(request.profile)
             request.error_status = 400
-            link.respond(request, 400, keep_alive=False)
+            connection.respond(request, 400, keep_alive=False)
         else:
-            self._take(link, request)
-
-    def _take(self, link: ClientConnection, request: Request) -> None:
-        if request.id in self._owed or request.id in self._ended:
-            # The same request once more, or a stranger's under its id: that id is taken on already.  Guards
-            # rule 2 and the packets it would travel with: hosts can't use a second body under one id.
-            link.respond(request, 202)
+            self._accept_message(connection, request)
+
+    def _accept_message(self, connection: ClientConnection, request: Request) -> None:
+        if request.id in self._owed or request.id in self._ended_ids:
+            # A repeated request, or another client's request under the same id: the id is accepted already.
+            # Rule 2 (no message takes effect twice); hosts can't use a second body under one id, and it would
+            # harm the packets that travel in the same batch.
+            connection.respond(request, 202)
             return
-        now, stop = clock.monotonic_ns(), request.received_at + request.remaining_time
-        self._lag.record(now, now - request.received_at)
+        now, deadline = clock.monotonic_ns(), request.received_at + request.remaining_time
+        self._loop_lag.record(now, now - request.received_at)
         message = OwedMessage(
             request.id,
             request.profile,
@@ -353,18 +410,18 @@
             request.key,
             request.idempotency_key,
             request.destination,
-            clock.to_wall(stop),
+            clock.to_wall(deadline),
             request.body,
         )
         wait = self._engine.check_admission(
-            message.destination, message.size, self._room, stop - now, self._lag.current(now)
+            message.destination, message.size, self._free_bytes, deadline - now, self._loop_lag.current(now)
         )
         if not wait:
             try:
-                self._journal.taken(message)
-            except OSError as fault:
-                self._log.info(f"journal-failed taken {fault}")
-                wait = self._engine.check_admission(message.destination, 1, 0, stop - now, 0)
+                self._journal.record_accepted(message)
+            except OSError as error:
+                self._log.info(f"journal-failed taken {error}")
+                wait = self._engine.check_admission(message.destination, 1, 0, deadline - now, 0)
         if wait:
             self._counters.add("packets_refused")
             self._log.info(
@@ -372,110 +429,115 @@
                 f"reason={self._engine.refusal_reason.value}"
             )
             self._replies.add(message.profile, Reply.OVERLOAD)
-            link.respond(request, 503, retry_after=wait, keep_alive=not self._leaving)
+            connection.respond(request, 503, retry_after=wait, keep_alive=not self._shutting_down)
             return
         self._owed[message.id] = message
         self._counters.add("packets_taken")
-        link.respond(request, 202)
+        connection.respond(request, 202)
         if self._backlog:
-            self._backlog.append(message)  # behind those taken before it, so that keys keep their order
+            # Behind the messages accepted before it, so that those of one key keep their order.
+            self._backlog.append(message)
         else:
-            self._hand_in(message)
+            self._submit_message(message)
 
-    def _report(
+    def _record_outcome(
         self, part: Part[OwedMessage], outcome: Outcome, finished: bool, wait: int, load: bytes
     ) -> None:
         if wait > 0:
-            self._waits.told(part.job.host, wait)
+            self._retry_after_waits.record_wait(part.job.host, wait)
         self._counters.add("trips_" + outcome.name.lower())
         if finished and part.item.given_up is None:
             self._counters.add("packets_fulfilled" if outcome is Outcome.FULFILLED else "packets_over")
             reply = Reply.SUCCESS if outcome is Outcome.FULFILLED else Reply.ERROR
             self._replies.add(part.item.profile, reply)
-            self._over(part.item)
+            self._finish_message(part.item)
         self._engine.report_outcome(
-            clock.monotonic_ns(), part, outcome, finished, wait, self._read_load(load)
+            clock.monotonic_ns(), part, outcome, finished, wait, self._parse_load(load)
         )
         if outcome is not Outcome.FULFILLED:
             self._log_failure(part, outcome, finished, wait)
-        self.wake()
+        self.request_turn()
 
     def _log_failure(self, part: Part[OwedMessage], outcome: Outcome, finished: bool, wait: int) -> None:
-        """One attempt that went wrong, and what is believed of its host with that."""
+        """Log a failed attempt with the current state of its host."""
         view = self._engine.view_host(part.job.host.encode())
-        believed = ""
+        host_fields = ""
         if view:
-            well = (
+            succeeded_ms_ago = (
                 (clock.monotonic_ns() - view.last_success_at) // MILLISECOND if view.last_success_at else -1
             )
-            believed = f" state={view.state.value} well_ms_ago={well} limit={view.limit:.3f}"
+            host_fields = f" state={view.state.value} well_ms_ago={succeeded_ms_ago} limit={view.limit:.3f}"
         self._log.info(
             f"attempt-failed id={part.item.id.decode()} peer={part.job.host} "
-            f"outcome={outcome.name.lower()} finished={finished} wait_ms={wait // MILLISECOND}{believed}"
+            f"outcome={outcome.name.lower()} finished={finished} wait_ms={wait // MILLISECOND}{host_fields}"
         )
 
-    def _read_load(self, load: bytes) -> tuple[float, ...]:
-        if not load or not self._reports:
+    def _parse_load(self, load: bytes) -> tuple[float, ...]:
+        if not load or not self._load_metrics:
             return ()
         try:
             fields = dict(field.strip().split(b"=", 1) for field in load.split(b","))
-            return tuple(parse_number(fields[name.encode()]) for name in self._reports)
+            return tuple(parse_number(fields[name.encode()]) for name in self._load_metrics)
         except (ValueError, KeyError):
             return ()
 
-    def _give_up(self, ending: UndeliveredPacket[OwedMessage]) -> None:
-        message, again, wait = ending.item, ending.again, ending.retry_after
-        left = (message.hard_stop - clock.to_wall(clock.monotonic_ns())) // MILLISECOND
+    def _end_undelivered(self, ending: UndeliveredPacket[OwedMessage]) -> None:
+        message, retryable, wait = ending.item, ending.again, ending.retry_after
+        remaining_ms = (message.deadline - clock.to_wall(clock.monotonic_ns())) // MILLISECOND
         self._log.info(
-            f"message-ended id={message.id.decode()} end={'bounced' if again else 'dead'} "
-            f"reason={ending.reason.value} attempts={ending.attempts} left_ms={left}"
+            f"message-ended id={message.id.decode()} end={'bounced' if retryable else 'dead'} "
+            f"reason={ending.reason.value} attempts={ending.attempts} left_ms={remaining_ms}"
         )
-        self._counters.add("packets_dismissed" if again else "packets_errored")
-        self._replies.add(message.profile, Reply.OVERLOAD if again else Reply.ERROR)
-        self._journal.given_up(message, again, wait)
-        self._notices.add(message)
+        self._counters.add("packets_dismissed" if retryable else "packets_errored")
+        self._replies.add(message.profile, Reply.OVERLOAD if retryable else Reply.ERROR)
+        self._journal.record_given_up(message, retryable, wait)
+        self._notifications.add(message)
 
-    def _over(self, message: OwedMessage) -> None:
+    def _finish_message(self, message: OwedMessage) -> None:
         if self._owed.pop(message.id, None):
-            self._journal.over(message)
-            self._ended.add(message.id, clock.from_wall(message.hard_stop), clock.monotonic_ns())
+            self._journal.record_ended(message)
+            self._ended_ids.add(message.id, clock.from_wall(message.deadline), clock.monotonic_ns())
 
     def reload(self, config: Config) -> None:
-        """SIGHUP: discovery and notices move to the address given now; profiles new or changed are used from
-        now on, those gone are refused, packets under way keep theirs; fewer trips bind at once."""
-        fresh = self._classes.reload(config.settings)
-        self._log.always(f"settings profiles={len(self._classes)} new-or-changed={fresh}")
-        if config.discovery != self._discovery:
-            self._discovery = config.discovery
-            self._watch.move(config.discovery)
-            self._notices.set_address(config.discovery)
-
-    def leave(self) -> None:
-        """SIGTERM: take nothing new, finish what can be finished; the journal keeps the rest."""
-        if self._leaving:
+        """Apply a configuration read at SIGHUP.
+
+        Discovery and notifications move to the address given now.  New and changed profiles take effect from
+        now on, removed ones are refused, and packets already accepted keep theirs.  A lower limit of trips
+        binds at once.
+        """
+        changed_count = self._service_classes.reload(config.settings)
+        self._log.always(f"settings profiles={len(self._service_classes)} new-or-changed={changed_count}")
+        if config.discovery != self._discovery_address:
+            self._discovery_address = config.discovery
+            self._watch.change_address(config.discovery)
+            self._notifications.set_address(config.discovery)
+
+    def begin_shutdown(self) -> None:
+        """Handle SIGTERM: accept nothing new and finish what can be finished; the journal keeps the rest."""
+        if self._shutting_down:
             return
-        self._leaving = True
+        self._shutting_down = True
         self._log.always(f"leaving owed={len(self._journal.owed)}")
         self._engine.begin_shutdown(
-            clock.monotonic_ns() + self._bounds.shutdown_timeout_ns, self._journal.process_beside()
+            clock.monotonic_ns() + self._bounds.shutdown_timeout_ns, self._journal.has_concurrent_process()
         )
         self.clients.close_idle("leaving")
-        self._loop.call_later(self._bounds.shutdown_linger_ns / 1e9, self._linger_over)
+        self._loop.call_later(self._bounds.shutdown_linger_ns / 1e9, self._end_linger)
         self._loop.call_later(self._bounds.shutdown_timeout_ns / 1e9, self.stop)
-        self.wake()
+        self.request_turn()
 
-    def _linger_over(self) -> None:
-        """Whoever was still being sent here has come by now: the process may end once nothing is owed."""
-        self._lingered = True
-        self.wake()
+    def _end_linger(self) -> None:
+        """Allow the process to end once nothing is owed: late connections have arrived by now."""
+        self._linger_elapsed = True
+        self.request_turn()
 
     def stop(self) -> None:
         if not self.stopped.done():
             self.stopped.set_result(None)
 
     def close(self) -> None:
-        """The end of this process; calls still out are in the journal."""
-        self._cold_hosts.close()
+        """Close all connections at the end of the process; the journal holds the calls still in flight."""
+        self._recovering_hosts.close()
         self._watch.close()
-        self._notices.close()
+        self._notifications.close()
         self._hosts.close()
--- a/millweir/net/discovery.py
+++ b/millweir/net/discovery.py
@@ -1,4 +1,4 @@
-"""The watch on the list of hosts: one call after the other, so that no gap lets it lapse."""
+"""Watches discovery for the list of hosts: one request follows the other, so that the watch never lapses."""
 
 from __future__ import annotations
 
@@ -15,36 +15,36 @@
 from millweir.net.heads import ResponseReader, parse_number
 from millweir.net.log import Log
 
-PHASES = {"SERVING": Phase.READY, "DRAINING": Phase.DRAINING, "DELETED": Phase.GONE}
+PHASE_BY_STATUS = {"SERVING": Phase.READY, "DRAINING": Phase.DRAINING, "DELETED": Phase.GONE}
 
 
-class Garbled(Exception):
-    """What was read is no list."""
+class InvalidHostList(Exception):
+    """A document that is no valid host list; the text says why."""
 
 
 @dataclass(frozen=True, slots=True)
-class News:
-    """A list as told: the version, whether it is whole, and the hosts with where they are."""
+class HostListUpdate:
+    """A decoded host list: its version, whether it is the full list, and the hosts with their addresses."""
 
-    index: int
-    whole: bool
+    version: int
+    is_full: bool
     entries: tuple[Entry, ...]
     addresses: dict[str, tuple[str, int]]
-    gone: list[str]
+    removed: list[str]
 
 
-def read_list(given: Any, settings: Settings) -> News:
-    """Read a list in discovery's form, all of it or nothing."""
+def decode_host_list(document: Any, settings: Settings) -> HostListUpdate:
+    """Decode a list in discovery's format; InvalidHostList where any part of it is invalid."""
     try:
-        entries, addresses, gone = [], {}, []
-        for row in given["endpoints"]:
-            name, phase = row["name"], PHASES[row["status"]]
+        entries, addresses, removed = [], {}, []
+        for row in document["endpoints"]:
+            name, phase = row["name"], PHASE_BY_STATUS[row["status"]]
             if not isinstance(name, str) or not name:
-                raise Garbled(f"an entry with the name {name!r}")
+                raise InvalidHostList(f"an entry with the name {name!r}")
             if phase is not Phase.GONE:
                 addresses[name] = read_address(row["address"], f"address of {name}")
             else:
-                gone.append(name)
+                removed.append(name)
             zone, kind = row.get("zone", ""), row.get("type", "")
             entries.append(
                 Entry(
@@ -56,133 +56,167 @@
                     rate=parse_number(row.get("weight", 0.0)),
                 )
             )
-        return News(int(given["index"]), bool(given.get("snapshot", False)), tuple(entries), addresses, gone)
-    except (KeyError, TypeError, ValueError, AttributeError, OverflowError, Misconfigured) as fault:
-        raise Garbled(repr(fault)) from fault
+        return HostListUpdate(
+            int(document["index"]),
+            bool(document.get("snapshot", False)),
+            tuple(entries),
+            addresses,
+            removed,
+        )
+    except (KeyError, TypeError, ValueError, AttributeError, OverflowError, Misconfigured) as error:
+        raise InvalidHostList(repr(error)) from error
 
 
 @dataclass(frozen=True, slots=True)
-class Patience:
-    """What one call asks for, in nanoseconds: how long discovery may wait for news, and the relay for it."""
+class PollTimeouts:
+    """Times of one request, in nanoseconds.
+
+    `server_wait`: how long discovery may wait for an update; `response`: how long the relay waits for it.
+    """
 
-    wait: int
-    silence: int
+    server_wait: int
+    response: int
 
 
-def patience_after(
-    bounds: Bounds, proven: bool, failures: int, unread: bool, rested: int | None = None
-) -> Patience:
-    """The patience of the next call to an address: only what follows a list is a long watch.
+def choose_poll_timeouts(
+    bounds: Bounds, proven: bool, failures: int, unread: bool, back_off: int | None = None
+) -> PollTimeouts:
+    """Choose the timeouts of the next request to an address: only a request after a list is a long watch.
 
-    `rested`: how long the relay has rested after it was turned away, None where it was not.  What is left of
-    the longest rest is waited for news: an overbooked discovery is asked as seldom as the bound allows.  The
-    whole course of such a call (patience, half an answer, the pause) lasts no longer than the longest rest.
+    `back_off`: how long the relay backed off after it was turned away, None where it was not turned away.
+    What remains of the longest back-off is spent waiting for updates, so that an overloaded discovery is
+    asked as seldom as the bound allows.  The whole duration of such a request (timeout, half a response,
+    retry pause) is no longer than the longest back-off.
     """
     if not proven:
-        return Patience(
+        return PollTimeouts(
             MILLISECOND, bounds.probe_timeouts_ns[min(failures, len(bounds.probe_timeouts_ns) - 1)]
         )
     if not failures and not unread:
-        return Patience(bounds.watch_wait_ns, bounds.watch_timeout_ns)
-    on_the_way = bounds.watch_timeout_ns - bounds.watch_wait_ns
-    course = bounds.probe_timeouts_ns[-1] + bounds.retry_interval_ns + bounds.reconnect_delay_ns
-    unused_rest = 0 if rested is None else max(0, bounds.max_discovery_back_off_ns - max(rested, course))
-    wait = min(bounds.watch_wait_ns, bounds.probe_timeouts_ns[-1] - on_the_way + unused_rest)
-    return Patience(wait, wait + on_the_way)
+        return PollTimeouts(bounds.watch_wait_ns, bounds.watch_timeout_ns)
+    transfer_time = bounds.watch_timeout_ns - bounds.watch_wait_ns
+    request_duration = bounds.probe_timeouts_ns[-1] + bounds.retry_interval_ns + bounds.reconnect_delay_ns
+    unused_back_off = (
+        0 if back_off is None else max(0, bounds.max_discovery_back_off_ns - max(back_off, request_duration))
+    )
+    server_wait = min(bounds.watch_wait_ns, bounds.probe_timeouts_ns[-1] - transfer_time + unused_back_off)
+    return PollTimeouts(server_wait, server_wait + transfer_time)
 
 
-def pause_after(bounds: Bounds, failures: int, spent: int) -> int:
-    """Until a call that got no list is repeated; its own time counts as part of the pause."""
+def compute_retry_pause(bounds: Bounds, failures: int, elapsed: int) -> int:
+    """The pause before a request that got no list is repeated; the time it took is part of the pause."""
     return max(
         bounds.reconnect_delay_ns,
-        min(bounds.reconnect_delay_ns << min(failures - 1, 8), bounds.retry_interval_ns) - spent,
+        min(bounds.reconnect_delay_ns << min(failures - 1, 8), bounds.retry_interval_ns) - elapsed,
     )
 
 
-def told_within(bounds: Bounds, longest_rest: int, silent_links: int = 0) -> int:
-    """The longest time from when discovery has a change and can be reached to the call that is told of it.
+def compute_update_delay_bound(bounds: Bounds, longest_back_off: int, silent_connections: int = 0) -> int:
+    """The longest time from a change that discovery, being reachable, holds to the request that receives it.
 
-    It holds after any call that failed, was turned away or given up.  What is under way at first may be the
-    rest after a call that was turned away, the pause after one that failed, or a call that began just before
-    and that nothing answers any more: its patience, more time if half of its answer had come, and the pause.
-    Each of `silent_links` is a connection that falls silent although discovery can be reached; a rest and the
-    longer wait after it share the longest rest, so that such a one costs no more there.
+    It holds after any request that failed, was turned away or was given up.  In progress at first may be
+    the back-off after a request that was turned away, the pause after one that failed, or a request that
+    was sent just before and is never answered: its timeout, more time if half of its response had arrived,
+    and the pause.  Each of `silent_connections` is a connection that falls silent although discovery can
+    be reached; a back-off and the longer wait after it share the longest back-off, so that a silent
+    connection costs no more there.
     """
-    retry = patience_after(bounds, proven=True, failures=1, unread=False).silence
-    patience = max(retry, *bounds.probe_timeouts_ns)
-    longest = patience_after(bounds, proven=True, failures=1, unread=False, rested=0).silence
-    under_way = max(
-        longest_rest,
+    retry_timeout = choose_poll_timeouts(bounds, proven=True, failures=1, unread=False).response
+    timeout = max(retry_timeout, *bounds.probe_timeouts_ns)
+    longest_timeout = choose_poll_timeouts(bounds, proven=True, failures=1, unread=False, back_off=0).response
+    in_progress = max(
+        longest_back_off,
         bounds.retry_interval_ns,
-        max(patience, longest) + bounds.retry_interval_ns + bounds.reconnect_delay_ns,
+        max(timeout, longest_timeout) + bounds.retry_interval_ns + bounds.reconnect_delay_ns,
     )
-    return under_way + silent_links * (patience + bounds.reconnect_delay_ns)
+    return in_progress + silent_connections * (timeout + bounds.reconnect_delay_ns)
 
 
-class Feed:
-    """One address of discovery, asked again as soon as it has answered.
+class DiscoveryPoller:
+    """Polls one address of discovery, again as soon as it has answered.
 
-    It is proven from an answer on, if only one that turns the relay away, until it fails to answer.  After a
-    list, a proven one is asked to wait long for news.  After anything else it is asked for little: a silent
-    connection can't be told from a list without news, and what it misses counts as told 6 s after discovery
-    could be reached (`told_within`, docs/design/crossings.md).
+    An address is proven from its first response on, even one that turns the relay away, until it fails to
+    answer.  After a list, a proven address is asked to wait long for updates.  After anything else the
+    wait is short: a silent connection can't be told from a list without updates, and what the relay misses
+    counts as received 6 s after discovery could be reached (`compute_update_delay_bound`,
+    docs/design/crossings.md).
     """
 
-    __slots__ = ("_asked_at", "_exchange", "_failures", "_loop", "_rested", "_watch", "closed", "proven")
+    __slots__ = (
+        "_asked_at",
+        "_back_off",
+        "_exchange",
+        "_failures",
+        "_loop",
+        "_watch",
+        "closed",
+        "proven",
+    )
 
     def __init__(
         self,
-        watch: Watch,
+        watch: DiscoveryWatch,
         loop: asyncio.AbstractEventLoop,
         address: tuple[str, int],
-        most: int,
+        max_list_bytes: int,
         log: Log,
         counters: Counters,
     ) -> None:
         self._watch, self._loop = watch, loop
-        more, dial_time = watch.bounds.retry_interval_ns, watch.bounds.probe_timeouts_ns[0]
+        transfer_grace, dial_time = watch.bounds.retry_interval_ns, watch.bounds.probe_timeouts_ns[0]
         self._exchange = Exchange(
-            loop, address, "discovery", most, more, dial_time, self._took, log, counters, self._unread
+            loop,
+            address,
+            "discovery",
+            max_list_bytes,
+            transfer_grace,
+            dial_time,
+            self._on_response,
+            log,
+            counters,
+            self._poll_unread,
         )
         self.proven = self.closed = False
         self._failures, self._asked_at = 0, loop.time()
-        self._rested: int | None = None  # before the call that is due, after one that was turned away
+        self._back_off: int | None = None  # before the pending request, where the last one was turned away
 
-    def ask(self, unread: bool = False) -> None:
-        """Call for what is newer.  `unread`: once more, as the last call found its connection closed."""
+    def poll(self, unread: bool = False) -> None:
+        """Request the next update.  `unread`: repeated, as the last request found its connection closed."""
         if not self.closed:
-            patience = patience_after(self._watch.bounds, self.proven, self._failures, unread, self._rested)
-            self._rested = None
-            query = self._watch.query(patience.wait)
+            timeouts = choose_poll_timeouts(
+                self._watch.bounds, self.proven, self._failures, unread, self._back_off
+            )
+            self._back_off = None
+            query = self._watch.build_query(timeouts.server_wait)
             head = b"GET /v1/endpoints%b HTTP/1.1\r\nHost: %b\r\n\r\n" % (query, self._exchange.host)
             self._asked_at = self._loop.time()
-            self._exchange.send_request([head], patience.silence)
+            self._exchange.send_request([head], timeouts.response)
 
-    def _unread(self) -> None:
-        self.ask(unread=True)
+    def _poll_unread(self) -> None:
+        self.poll(unread=True)
 
-    def _took(self, reader: ResponseReader | None) -> None:
-        if self._watch.heard(self, reader):
+    def _on_response(self, reader: ResponseReader | None) -> None:
+        if self._watch.handle_response(self, reader):
             self._failures = 0
-            self.ask()
+            self.poll()
         else:
-            # Turned away, it rests as the module says, then asks with patience: discovery has too much to do.
-            # Else it goes on soon: what the agent learns meanwhile binds at once.
+            # Turned away, the poller backs off as the engine draws it and then asks with a longer wait, as
+            # discovery is overloaded.  Else it retries soon: what discovery learns meanwhile binds at once.
             self._failures += 1
             self.proven = reader is not None and reader.status != 200
-            spent = int((self._loop.time() - self._asked_at) * 1e9)
-            soon = pause_after(self._watch.bounds, self._failures, spent)
-            rest = self._watch.rest(self._failures) if self.proven else soon
-            self._rested = rest if self.proven else None
-            self._loop.call_later(rest / 1e9, self.ask)
+            elapsed = int((self._loop.time() - self._asked_at) * 1e9)
+            retry_pause = compute_retry_pause(self._watch.bounds, self._failures, elapsed)
+            pause = self._watch.draw_back_off(self._failures) if self.proven else retry_pause
+            self._back_off = pause if self.proven else None
+            self._loop.call_later(pause / 1e9, self.poll)
 
     def close(self) -> None:
         self.closed = True
         self._exchange.close("moved")
 
 
-class Watch:
-    """Keeps asking for what is newer than the version at hand; while discovery is silent, that one stays."""
+class DiscoveryWatch:
+    """Keeps polling for versions newer than the current one, which stays while discovery is silent."""
 
     def __init__(
         self,
@@ -190,53 +224,57 @@
         address: tuple[str, int],
         settings: Settings,
         bounds: Bounds,
-        index: int,
-        told: Callable[[Change, News], None],
-        rest: Callable[[int], int],
+        version: int,
+        on_update: Callable[[Change, HostListUpdate], None],
+        draw_back_off: Callable[[int], int],
         log: Log,
         counters: Counters,
     ) -> None:
-        """`draw_back_off`: how long until discovery is asked again after so many failures in a row."""
-        self._loop, self._settings, self.bounds, self.rest = loop, settings, bounds, rest
-        self._index, self._told, self._log, self._counters = index, told, log, counters
-        self._feeds: list[Feed] = []  # the one in use first, then the one that is to take its place
-        self.move(address)
+        """`draw_back_off`: how long to wait before asking again after a number of consecutive failures."""
+        self._loop, self._settings, self.bounds, self.draw_back_off = loop, settings, bounds, draw_back_off
+        self._version, self._on_update, self._log, self._counters = version, on_update, log, counters
+        self._pollers: list[DiscoveryPoller] = []  # the one in use first, then the one that is to replace it
+        self.change_address(address)
 
-    def move(self, address: tuple[str, int]) -> None:
-        """Ask there from now on.
+    def change_address(self, address: tuple[str, int]) -> None:
+        """Poll a new address from now on.
 
-        Guards against a gap in what is told: the address in use is asked on until the new one answers.
+        The address in use is polled until the new one answers, so that no update is missed in between.
         """
-        for feed in self._feeds[1:]:
-            feed.close()
-        del self._feeds[1:]
-        self._feeds.append(
-            Feed(self, self._loop, address, self.bounds.max_list_bytes, self._log, self._counters)
+        for poller in self._pollers[1:]:
+            poller.close()
+        del self._pollers[1:]
+        self._pollers.append(
+            DiscoveryPoller(self, self._loop, address, self.bounds.max_list_bytes, self._log, self._counters)
+        )
+        self._loop.call_soon(self._pollers[-1].poll)
+
+    def build_query(self, server_wait: int) -> bytes:
+        """The query string; without a known version it asks for the full list, which never waits."""
+        return (
+            b"?since=%d&timeout_ms=%d" % (self._version, server_wait // MILLISECOND)
+            if self._version >= 0
+            else b""
         )
-        self._loop.call_soon(self._feeds[-1].ask)
-
-    def query(self, wait: int) -> bytes:
-        """What to ask for; a version of none asks for the whole list, which never waits."""
-        return b"?since=%d&timeout_ms=%d" % (self._index, wait // MILLISECOND) if self._index >= 0 else b""
 
-    def heard(self, feed: Feed, reader: ResponseReader | None) -> bool:
-        """Take in an answer; False where it is none."""
+    def handle_response(self, poller: DiscoveryPoller, reader: ResponseReader | None) -> bool:
+        """Apply a response; False where it holds no valid list."""
         try:
             if reader is None or reader.status != 200:
-                raise Garbled("no answer" if reader is None else f"status {reader.status}")
-            news = read_list(json.loads(reader.body), self._settings)
-        except (Garbled, ValueError, RecursionError) as fault:
+                raise InvalidHostList("no answer" if reader is None else f"status {reader.status}")
+            update = decode_host_list(json.loads(reader.body), self._settings)
+        except (InvalidHostList, ValueError, RecursionError) as error:
             self._counters.add("list_failures")
-            self._log.info(f"list-failed {str(fault)[:200]}")
+            self._log.info(f"list-failed {str(error)[:200]}")
             return False
-        feed.proven = True
-        while self._feeds[0] is not feed and feed in self._feeds:
-            self._feeds.pop(0).close()
-        self._index = news.index
+        poller.proven = True
+        while self._pollers[0] is not poller and poller in self._pollers:
+            self._pollers.pop(0).close()
+        self._version = update.version
         self._counters.add("lists_told")
-        self._told(Change.FULL if news.whole else Change.DELTA, news)  # also that there is no news
+        self._on_update(Change.FULL if update.is_full else Change.DELTA, update)  # also without any change
         return True
 
     def close(self) -> None:
-        for feed in self._feeds:
-            feed.close()
+        for poller in self._pollers:
+            poller.close()
--- a/millweir/net/hosts.py
+++ b/millweir/net/hosts.py
@@ -95,14 +95,14 @@
         if len(parts) == 1:
             message = parts[0].item
             path, body, id_headers = b"/hook", message.body, b"X-Correlation-Id: %b\r\n" % message.id
-            if message.mark:
-                id_headers += b"Idempotency-Key: %b\r\n" % message.mark
+            if message.idempotency_key:
+                id_headers += b"Idempotency-Key: %b\r\n" % message.idempotency_key
         else:
             rows = []
             for part in parts:
                 row = {"id": part.item.id.decode()}
-                if part.item.mark:
-                    row["key"] = part.item.mark.decode()
+                if part.item.idempotency_key:
+                    row["key"] = part.item.idempotency_key.decode()
                 row["body"] = base64.b64encode(part.item.body).decode()
                 rows.append(row)
             path, body, id_headers = b"/hook/batch", json.dumps(rows, separators=(",", ":")).encode(), b""
@@ -122,7 +122,7 @@
             self._check_may_send(parts)
             # So that a packet does not take effect twice after a restart (rule 2): hosts recognise a repeat
             # for a time that begins with the first byte of the call, which is the time to journal.
-            hosts.journal.trip([part.item for part in parts], clock.to_wall(self._written_at))
+            hosts.journal.record_trips([part.item for part in parts], clock.to_wall(self._written_at))
             self._journaled_trips = {part: len(part.item.trips) - 1 for part in parts}
             self._check_may_send(parts)  # again: the journal write may have taken long
         except OSError as error:
@@ -158,7 +158,7 @@
         if not self.pending_parts:
             self._hosts.finish_call(self)
         if outcome.never_ran and part in self._journaled_trips:
-            self._hosts.journal.void(part.item, self._journaled_trips[part])
+            self._hosts.journal.record_never_ran(part.item, self._journaled_trips[part])
         self._hosts.report(part, outcome, finished, retry_after, backend_load)
 
     def finish_all(
--- a/millweir/net/journal.py
+++ b/millweir/net/journal.py
@@ -1,7 +1,7 @@
-"""The journal: what this relay owes outlasts its process, in one file of the folder that lasts.
+"""The journal: one file in the state folder with every message that the relay still owes an outcome.
 
-A record is a length, a checksum and a body; what is read back ends at the first one that is not whole.  When
-the file has grown, one with only what is still owed takes its place.
+A record is a length, a checksum and a body; reading stops at the first damaged record.  When the file has
+grown too large, it is replaced by one that holds only what is still owed.
 """
 
 from __future__ import annotations
@@ -16,42 +16,45 @@
 from millweir.interface import MILLISECOND
 from millweir.net import clock
 
-FRAME = struct.Struct("<II")
-TAKEN = struct.Struct("<BQqHHHHHi")  # kind, number, hard stop, five lengths of text, destination
-TRIP = struct.Struct("<BQq")  # kind, number, when it went out
-VOID = struct.Struct("<BQH")  # kind, number, which of its trips never ran
-GIVEN_UP = struct.Struct("<BQBq")  # kind, number, may come again, wait
-OVER = struct.Struct("<BQ")  # kind, number
-CLOCK = struct.Struct("<BQq16s")  # kind, number 0: earlier builds skip it; wall clock ahead of steady, boot
-TAKEN_KIND = 1
+FRAME_HEADER = struct.Struct("<II")  # length of the body, its checksum
+ACCEPTED_RECORD = struct.Struct("<BQqHHHHHi")  # kind, number, deadline, lengths of five texts, destination
+TRIP_RECORD = struct.Struct("<BQq")  # kind, number, when it was sent
+NEVER_RAN_RECORD = struct.Struct("<BQH")  # kind, number, index of the trip that never ran
+GIVEN_UP_RECORD = struct.Struct("<BQBq")  # kind, number, whether the client may retry, retry-after
+ENDED_RECORD = struct.Struct("<BQ")  # kind, number
+# Kind, number, wall clock minus monotonic clock, boot id.  The number is 0, so that earlier builds skip
+# the record.
+CLOCK_RECORD = struct.Struct("<BQq16s")
+ACCEPTED_KIND = 1
 TRIP_KIND = 2
-VOID_KIND = 3
+NEVER_RAN_KIND = 3
 GIVEN_UP_KIND = 4
-OVER_KIND = 5
+ENDED_KIND = 5
 CLOCK_KIND = 6
-OF_ANY_AGE = 0  # wall time of a trip of which nobody can say for sure how long ago it went out
-TRIP_SIZE = 2 * FRAME.size + TRIP.size + VOID.size  # the most that one trip takes in a file
-FIXED_SIZE = 2 * FRAME.size + TAKEN.size + GIVEN_UP.size  # besides texts, body and trips
-FILE = "journal"
-SLOTS = 4  # processes that may share the folder at once: one, and the one that replaces it
+UNKNOWN_SENT_AT = 0  # wall time of a trip whose age can't be determined
+# The most that one trip takes in a file, and a message without its texts, body and trips.
+MAX_TRIP_BYTES = 2 * FRAME_HEADER.size + TRIP_RECORD.size + NEVER_RAN_RECORD.size
+MAX_FIXED_BYTES = 2 * FRAME_HEADER.size + ACCEPTED_RECORD.size + GIVEN_UP_RECORD.size
+FILE_NAME = "journal"
+SLOT_COUNT = 4  # processes that may share the folder at once: normally one, and in an upgrade its replacement
 
 
-def named(slot: int, end: str = "") -> str:
-    return (FILE if slot == 0 else f"{FILE}.{slot}") + end
+def build_slot_file_name(slot: int, suffix: str = "") -> str:
+    return (FILE_NAME if slot == 0 else f"{FILE_NAME}.{slot}") + suffix
 
 
 class OwedMessage:
-    """A packet as the sockets know it, from being taken on to its end."""
+    """An accepted message, from its acceptance to its final outcome."""
 
     __slots__ = (
         "account",
         "body",
+        "deadline",
         "destination",
         "given_up",
-        "hard_stop",
         "id",
+        "idempotency_key",
         "key",
-        "mark",
         "number",
         "profile",
         "restored",
@@ -61,101 +64,114 @@
 
     def __init__(
         self,
-        ident: bytes,
+        message_id: bytes,
         profile: bytes,
         account: bytes,
         key: bytes,
-        mark: bytes,
+        idempotency_key: bytes,
         destination: int,
-        hard_stop: int,
+        deadline: int,
         body: bytes,
     ) -> None:
         self.number = 0
-        self.id = ident
+        self.id = message_id
         self.profile = profile
         self.account = account
-        self.key = key  # packets of one key keep their order
-        self.mark = mark  # by which its destination knows a repeat
+        self.key = key  # messages with the same key keep their order
+        self.idempotency_key = idempotency_key  # by which the destination recognises a repeat
         self.destination = destination
-        self.hard_stop = hard_stop  # wall time, as all times here
+        self.deadline = deadline  # wall time, like all times here
         self.body = body
-        self.trips: list[list[int]] = []  # when each went out, and 1 once it is known that it never ran
+        self.trips: list[list[int]] = []  # when each was sent, and 1 once it is known that it never ran
         self.given_up: tuple[bool, int] | None = None
-        self.restored = False  # an earlier life took it on
-        self.size = FIXED_SIZE + sum(map(len, self.texts)) + len(body)  # the most that it takes in a file
+        self.restored = False  # accepted before the restart
+        # The most it takes in a file.
+        self.size = MAX_FIXED_BYTES + sum(map(len, self.text_fields)) + len(body)
 
     @property
-    def texts(self) -> tuple[bytes, ...]:
-        return self.id, self.profile, self.account, self.key, self.mark
-
-    def went_out(self, at: int) -> None:
-        """It has one trip more."""
-        self.trips.append([at, 0])
-        self.size += TRIP_SIZE
-
-    def records(self) -> list[bytes]:
-        """All that a file must hold of it."""
-        head = TAKEN.pack(TAKEN_KIND, self.number, self.hard_stop, *map(len, self.texts), self.destination)
-        bodies = [b"".join((head, *self.texts, self.body))]
-        for at, (sent_at, void) in enumerate(self.trips):
-            bodies.append(TRIP.pack(TRIP_KIND, self.number, sent_at))
-            if void:
-                bodies.append(VOID.pack(VOID_KIND, self.number, at))
+    def text_fields(self) -> tuple[bytes, ...]:
+        return self.id, self.profile, self.account, self.key, self.idempotency_key
+
+    def add_trip(self, sent_at: int) -> None:
+        self.trips.append([sent_at, 0])
+        self.size += MAX_TRIP_BYTES
+
+    def encode_records(self) -> list[bytes]:
+        """All records that a file must hold for this message."""
+        head = ACCEPTED_RECORD.pack(
+            ACCEPTED_KIND, self.number, self.deadline, *map(len, self.text_fields), self.destination
+        )
+        bodies = [b"".join((head, *self.text_fields, self.body))]
+        for index, (sent_at, never_ran) in enumerate(self.trips):
+            bodies.append(TRIP_RECORD.pack(TRIP_KIND, self.number, sent_at))
+            if never_ran:
+                bodies.append(NEVER_RAN_RECORD.pack(NEVER_RAN_KIND, self.number, index))
         if self.given_up:
-            bodies.append(GIVEN_UP.pack(GIVEN_UP_KIND, self.number, *self.given_up))
+            bodies.append(GIVEN_UP_RECORD.pack(GIVEN_UP_KIND, self.number, *self.given_up))
         return bodies
 
 
-def framed(bodies: list[bytes]) -> bytes:
-    return b"".join([FRAME.pack(len(body), zlib.crc32(body)) + body for body in bodies])
+def encode_frames(bodies: list[bytes]) -> bytes:
+    return b"".join([FRAME_HEADER.pack(len(body), zlib.crc32(body)) + body for body in bodies])
 
 
-def _set_back_since(wall_ahead: int) -> int:
-    """By how much the wall clock was set back since a process of this boot found it so far ahead.
+def _measure_set_back(recorded_offset: int) -> int:
+    """How far the wall clock was set back since its offset to the monotonic clock was recorded in this boot.
 
-    Guards rule 2: a trip must not seem younger than it is by the steady clock, which runs on between two
-    processes of one boot.  A wall clock set ahead makes trips seem older, and is left so.
+    Rule 2 (no message takes effect twice): a trip must not seem younger than it is by the monotonic clock,
+    which runs on between two processes of one boot.  A wall clock that was set ahead makes trips seem
+    older; that is safe and is not corrected.
     """
-    return max(0, wall_ahead - clock.wall_offset())
+    return max(0, recorded_offset - clock.wall_offset())
 
 
-def _clock_record() -> bytes:
-    """By which clocks the times in the records behind it are told."""
-    return CLOCK.pack(CLOCK_KIND, 0, clock.wall_offset(), clock.read_boot_id())
+def _encode_clock_record() -> bytes:
+    """The record of the clocks that the times in the records after it refer to."""
+    return CLOCK_RECORD.pack(CLOCK_KIND, 0, clock.wall_offset(), clock.read_boot_id())
 
 
 class Journal:
-    """Every message that is still owed its end, in memory and on disk alike."""
+    """Every message that is still owed an outcome, in memory and on disk."""
 
-    def __init__(self, folder: Path, file_most: int, live_most: int, say: Callable[[str], None]) -> None:
-        self.folder, self._file_most, self._live_most, self._say = folder, file_most, live_most, say
+    def __init__(
+        self, folder: Path, max_file_bytes: int, max_live_bytes: int, log_line: Callable[[str], None]
+    ) -> None:
+        self.folder, self._max_file_bytes, self._max_live_bytes, self._log_line = (
+            folder,
+            max_file_bytes,
+            max_live_bytes,
+            log_line,
+        )
         self.owed: dict[int, OwedMessage] = {}
-        self.torn = 0  # bytes dropped from the end of the file at start
-        self._live = self._size = self._last = 0
-        self._reserve = -1  # a descriptor that is lent to the next file
-        self._set_back: int | None = None  # of the file being read: nanoseconds, None where that is unknown
-        self._moved = 0  # of the wall clock since the records being read were written, either way
-        self._locks: dict[int, int] = {}
-        self._file = -1
+        self.torn_bytes = 0  # dropped from the end of the file at the start
+        self._live_bytes = self._file_bytes = self._last_number = 0
+        self._reserve_fd = -1  # kept open, and closed to make room for the descriptor of the next file
+        # Both are of the file that is being read: how far the wall clock was set back since it was written
+        # (None where that is unknown), and how far it was moved in either direction.
+        self._set_back_ns: int | None = None
+        self._wall_clock_shift_ns = 0
+        self._lock_fds: dict[int, int] = {}
+        self._file_fd = -1
         try:
-            self._open()
+            self._open_file()
         except OSError:
             self.close()
             raise
 
-    def _open(self) -> None:
-        # Guards rule 2 in an upgrade: a process beside this one owns its own file, locked while it lives.
-        self.slot = next((slot for slot in range(SLOTS) if self._lock(slot)), SLOTS - 1)
-        path = self.folder / named(self.slot)
+    def _open_file(self) -> None:
+        # Rule 2 (no message takes effect twice), in an upgrade: each process has a file of its own and
+        # holds a lock on it while it lives.
+        self.slot = next((slot for slot in range(SLOT_COUNT) if self._try_lock(slot)), SLOT_COUNT - 1)
+        path = self.folder / build_slot_file_name(self.slot)
         if path.exists():
-            self._read(path.read_bytes())
-        if not self._resume():
+            self._load_records(path.read_bytes())
+        if not self._reuse_file():
             self._compact()
-        self.orphans()
+        self.adopt_orphans()
 
-    def _lock(self, slot: int) -> bool:
-        """Whether this process now holds that slot; where the file system has no locks, it does."""
-        fd = os.open(self.folder / named(slot, ".lock"), os.O_RDWR | os.O_CREAT, 0o600)
+    def _try_lock(self, slot: int) -> bool:
+        """Whether this process holds the slot now; on a file system without locks it always does."""
+        fd = os.open(self.folder / build_slot_file_name(slot, ".lock"), os.O_RDWR | os.O_CREAT, 0o600)
         try:
             fcntl.flock(fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
@@ -163,224 +179,251 @@
             return False
         except OSError:
             pass
-        self._locks[slot] = fd
+        self._lock_fds[slot] = fd
         return True
 
-    def process_beside(self) -> bool:
-        """Whether another process that is alive holds a slot of this folder."""
-        for slot in range(SLOTS):
-            if slot == self.slot or not (self.folder / named(slot, ".lock")).exists():
+    def has_concurrent_process(self) -> bool:
+        """Whether another live process holds a slot of this folder."""
+        for slot in range(SLOT_COUNT):
+            if slot == self.slot or not (self.folder / build_slot_file_name(slot, ".lock")).exists():
                 continue
             try:
-                if not self._lock(slot):
+                if not self._try_lock(slot):
                     return True
             except OSError:  # out of descriptors: unknown
                 return True
-            os.close(self._locks.pop(slot))
+            os.close(self._lock_fds.pop(slot))
         return False
 
-    def orphans(self) -> list[OwedMessage]:
-        """What a process that ended beside this one still owed, now owed by this one and written here."""
-        found: list[OwedMessage] = []
-        for slot in range(SLOTS):
-            path = self.folder / named(slot)
-            if slot == self.slot or not path.exists() or not self._lock(slot):
+    def adopt_orphans(self) -> list[OwedMessage]:
+        """Take over what ended processes of this folder still owed; the messages are written to this file."""
+        adopted: list[OwedMessage] = []
+        for slot in range(SLOT_COUNT):
+            path = self.folder / build_slot_file_name(slot)
+            if slot == self.slot or not path.exists() or not self._try_lock(slot):
                 continue
-            mine, last, torn = self.owed, self._last, self.torn
+            own_owed, last_number, torn_bytes = self.owed, self._last_number, self.torn_bytes
             self.owed = {}
             try:
-                self._read(path.read_bytes())
-                theirs, self.owed = self.owed, mine
-                self._last, self.torn, self._live = last, torn, sum(p.size for p in mine.values())
-                self._take_over(path, theirs, found)
-            except OSError as fault:  # out of descriptors or disk: it stays as it is, and is tried again
-                self.owed, self._last, self.torn = mine, last, torn
-                self._live = sum(message.size for message in mine.values())
-                self._say(f"journal-failed adopt slot={slot} {fault}")
-            os.close(self._locks.pop(slot))
-        return found
-
-    def _take_over(self, path: Path, theirs: dict[int, OwedMessage], found: list[OwedMessage]) -> None:
-        """Each is written here before it goes there; OSError where this disk takes no more.
-
-        Guards rule 2 where a kill falls between the two: what is here already is not taken on once more.
+                self._load_records(path.read_bytes())
+                orphaned, self.owed = self.owed, own_owed
+                self._last_number, self.torn_bytes, self._live_bytes = (
+                    last_number,
+                    torn_bytes,
+                    sum(message.size for message in own_owed.values()),
+                )
+                self._adopt_messages(path, orphaned, adopted)
+            except OSError as error:  # out of descriptors or disk: the file is kept and tried again later
+                self.owed, self._last_number, self.torn_bytes = own_owed, last_number, torn_bytes
+                self._live_bytes = sum(message.size for message in own_owed.values())
+                self._log_line(f"journal-failed adopt slot={slot} {error}")
+            os.close(self._lock_fds.pop(slot))
+        return adopted
+
+    def _adopt_messages(
+        self, path: Path, orphaned: dict[int, OwedMessage], adopted: list[OwedMessage]
+    ) -> None:
+        """Write each message here before it is removed there; OSError where this disk takes no more.
+
+        Rule 2 (no message takes effect twice), where a kill falls between the two writes: a message that
+        is here already is not adopted again.
         """
-        known = {message.id for message in self.owed.values()}
-        numbers = list(theirs)  # as that file has them; taken on, they get others
+        known_ids = {message.id for message in self.owed.values()}
+        numbers = list(orphaned)  # the numbers in the other file; adopted messages get new ones
         try:
-            for message in theirs.values():
-                if message.id not in known:
-                    self.taken(message)
-                    found.append(message)
+            for message in orphaned.values():
+                if message.id not in known_ids:
+                    self.record_accepted(message)
+                    adopted.append(message)
         except OSError:
-            gone = [number for number in numbers if theirs[number] in found or theirs[number].id in known]
-            with open(path, "ab") as file:  # the rest of them stays there
-                file.write(framed([OVER.pack(OVER_KIND, number) for number in gone]))
+            removed_numbers = [
+                number
+                for number in numbers
+                if orphaned[number] in adopted or orphaned[number].id in known_ids
+            ]
+            with open(path, "ab") as file:  # the other messages stay there
+                file.write(
+                    encode_frames([ENDED_RECORD.pack(ENDED_KIND, number) for number in removed_numbers])
+                )
             raise
         path.unlink(missing_ok=True)
 
     def close(self) -> None:
-        """As at the end of the process: its file and its slot are let go."""
-        if self._file >= 0:
-            os.close(self._file)
-            self._file = -1
-        self._drop_reserve()
-        for fd in self._locks.values():
+        """Release the file and the slot, as the end of the process does."""
+        if self._file_fd >= 0:
+            os.close(self._file_fd)
+            self._file_fd = -1
+        self._close_reserve()
+        for fd in self._lock_fds.values():
             os.close(fd)
-        self._locks.clear()
+        self._lock_fds.clear()
 
     @property
-    def room(self) -> int:
-        """How large a message may be taken on."""
-        return self._live_most - self._live
-
-    def taken(self, message: OwedMessage) -> None:
-        """Written before its client hears of it; OSError where the disk won't take it."""
-        self._last = message.number = self._last + 1
-        self._write(message.records())
+    def free_bytes(self) -> int:
+        """The largest message that may be accepted."""
+        return self._max_live_bytes - self._live_bytes
+
+    def record_accepted(self, message: OwedMessage) -> None:
+        """Write a message before its client is answered; OSError where the disk does not take it."""
+        self._last_number = message.number = self._last_number + 1
+        self._write(message.encode_records())
         self.owed[message.number] = message
-        self._live += message.size
+        self._live_bytes += message.size
 
-    def trip(self, messages: list[OwedMessage], at: int) -> None:
-        """Written before the last byte of their call goes out."""
-        self._write([TRIP.pack(TRIP_KIND, message.number, at) for message in messages])
+    def record_trips(self, messages: list[OwedMessage], sent_at: int) -> None:
+        """Write a trip of each message before the last byte of their call is sent."""
+        self._write([TRIP_RECORD.pack(TRIP_KIND, message.number, sent_at) for message in messages])
         for message in messages:
-            message.went_out(at)
-            self._live += TRIP_SIZE
-
-    def void(self, message: OwedMessage, at: int) -> None:
-        """One of its trips never ran."""
-        message.trips[at][1] = 1
-        if message.number in self.owed:  # of what is over, nothing more is told
-            self._note("void", VOID.pack(VOID_KIND, message.number, at))
-
-    def given_up(self, message: OwedMessage, again: bool, wait: int) -> None:
-        """Its end is known, the platform has yet to be told."""
-        message.given_up = (again, wait)
-        self._note("given-up", GIVEN_UP.pack(GIVEN_UP_KIND, message.number, again, wait))
-
-    def over(self, message: OwedMessage) -> None:
-        """Nothing more is owed for it."""
+            message.add_trip(sent_at)
+            self._live_bytes += MAX_TRIP_BYTES
+
+    def record_never_ran(self, message: OwedMessage, index: int) -> None:
+        """Record that one trip of a message never ran."""
+        message.trips[index][1] = 1
+        if message.number in self.owed:  # nothing more is recorded for a message that has ended
+            self._write_or_log("void", NEVER_RAN_RECORD.pack(NEVER_RAN_KIND, message.number, index))
+
+    def record_given_up(self, message: OwedMessage, retryable: bool, wait: int) -> None:
+        """Record an undelivered message of which the platform still has to be notified."""
+        message.given_up = (retryable, wait)
+        self._write_or_log("given-up", GIVEN_UP_RECORD.pack(GIVEN_UP_KIND, message.number, retryable, wait))
+
+    def record_ended(self, message: OwedMessage) -> None:
+        """Record that nothing more is owed for a message."""
         if self.owed.pop(message.number, None):
-            self._live -= message.size
-            self._note("over", OVER.pack(OVER_KIND, message.number))
+            self._live_bytes -= message.size
+            self._write_or_log("over", ENDED_RECORD.pack(ENDED_KIND, message.number))
+
+    def _write_or_log(self, what: str, body: bytes) -> None:
+        """Write a record; where the disk does not take it, log that and go on.
 
-    def _note(self, what: str, body: bytes) -> None:
-        """Where the disk won't take it, work goes on; after a restart less is known to have ended."""
+        After a restart fewer messages are then known to have ended.
+        """
         try:
             self._write([body])
-        except OSError as fault:
-            self._say(f"journal-failed {what} {fault}")
+        except OSError as error:
+            self._log_line(f"journal-failed {what} {error}")
 
     def _write(self, bodies: list[bytes]) -> None:
-        raw = framed(bodies)
-        if self._size + len(raw) > self._file_most:
+        raw = encode_frames(bodies)
+        if self._file_bytes + len(raw) > self._max_file_bytes:
             self._compact()
-        done = os.write(self._file, raw)
-        self._size += done
-        if done < len(raw):  # a part of a record must not stay in front of whole ones
-            os.ftruncate(self._file, self._size - done)
-            self._size -= done
+        written = os.write(self._file_fd, raw)
+        self._file_bytes += written
+        if written < len(raw):  # reading would stop at a partial record and lose the records after it
+            os.ftruncate(self._file_fd, self._file_bytes - written)
+            self._file_bytes -= written
             raise OSError("the journal took only a part of a record")
 
-    def _resume(self) -> bool:
-        """Go on with the file of the process before this one, if it is whole and mostly of what is owed."""
-        path = self.folder / named(self.slot)
+    def _reuse_file(self) -> bool:
+        """Continue the previous process's file if it is undamaged and most of it is still owed."""
+        path = self.folder / build_slot_file_name(self.slot)
         size = path.stat().st_size if path.exists() else 0
-        if self.torn or not 0 < size <= min(2 * self._live, self._file_most // 2):
+        if self.torn_bytes or not 0 < size <= min(2 * self._live_bytes, self._max_file_bytes // 2):
             return False
-        self._file, self._size = os.open(path, os.O_WRONLY | os.O_APPEND), size
-        self._hold_reserve()
-        self._write([_clock_record()])
+        self._file_fd, self._file_bytes = os.open(path, os.O_WRONLY | os.O_APPEND), size
+        self._open_reserve()
+        self._write([_encode_clock_record()])
         return True
 
     def _compact(self) -> None:
-        """A new file with what is owed replaces the old one at once: a crash leaves either of them whole.
+        """Replace the file atomically by one with only what is owed; a crash leaves one of them intact.
 
-        Guards rule 2 where clients or hosts hold all other descriptors: an end has to be written.
+        Rule 2 (no message takes effect twice), where clients or hosts hold all other descriptors: the
+        record of an end has to be written, so a descriptor is reserved for the new file.
         """
-        self._drop_reserve()
+        self._close_reserve()
         try:
-            self._replace_file()
+            self._write_compacted_file()
         finally:
-            self._hold_reserve()
+            self._open_reserve()
 
-    def _hold_reserve(self) -> None:
+    def _open_reserve(self) -> None:
         try:
-            self._reserve = os.open(os.devnull, os.O_RDONLY)
-        except OSError as fault:
-            self._say(f"journal-failed reserve {fault}")
-
-    def _drop_reserve(self) -> None:
-        if self._reserve >= 0:
-            os.close(self._reserve)
-            self._reserve = -1
-
-    def _replace_file(self) -> None:
-        bodies = [body for message in self.owed.values() for body in message.records()]
-        raw = framed([_clock_record(), *bodies])
-        new, name = self.folder / named(self.slot, ".new"), self.folder / named(self.slot)
-        fresh = os.open(new, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND, 0o600)
+            self._reserve_fd = os.open(os.devnull, os.O_RDONLY)
+        except OSError as error:
+            self._log_line(f"journal-failed reserve {error}")
+
+    def _close_reserve(self) -> None:
+        if self._reserve_fd >= 0:
+            os.close(self._reserve_fd)
+            self._reserve_fd = -1
+
+    def _write_compacted_file(self) -> None:
+        bodies = [body for message in self.owed.values() for body in message.encode_records()]
+        raw = encode_frames([_encode_clock_record(), *bodies])
+        new_path, path = (
+            self.folder / build_slot_file_name(self.slot, ".new"),
+            self.folder / build_slot_file_name(self.slot),
+        )
+        new_fd = os.open(new_path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND, 0o600)
         try:
-            at = 0
-            while at < len(raw):
-                at += os.write(fresh, raw[at:])
-            os.rename(new, name)
+            offset = 0
+            while offset < len(raw):
+                offset += os.write(new_fd, raw[offset:])
+            os.rename(new_path, path)
         except OSError:
-            os.close(fresh)
-            new.unlink(missing_ok=True)
+            os.close(new_fd)
+            new_path.unlink(missing_ok=True)
             raise
-        if self._file >= 0:
-            os.close(self._file)
-        self._file, self._size = fresh, len(raw)
-
-    def _read(self, raw: bytes) -> None:
-        at, self._set_back, self._moved = 0, None, 0
-        while at + FRAME.size <= len(raw):
-            size, check = FRAME.unpack_from(raw, at)
-            body = raw[at + FRAME.size : at + FRAME.size + size]
-            if len(body) < size or not size or zlib.crc32(body) != check or not self._replay(body):
+        if self._file_fd >= 0:
+            os.close(self._file_fd)
+        self._file_fd, self._file_bytes = new_fd, len(raw)
+
+    def _load_records(self, raw: bytes) -> None:
+        offset, self._set_back_ns, self._wall_clock_shift_ns = 0, None, 0
+        while offset + FRAME_HEADER.size <= len(raw):
+            size, checksum = FRAME_HEADER.unpack_from(raw, offset)
+            body = raw[offset + FRAME_HEADER.size : offset + FRAME_HEADER.size + size]
+            if len(body) < size or not size or zlib.crc32(body) != checksum or not self._apply_record(body):
                 break
-            at += FRAME.size + size
-        self.torn = len(raw) - at
-        self._live = sum(message.size for message in self.owed.values())
+            offset += FRAME_HEADER.size + size
+        self.torn_bytes = len(raw) - offset
+        self._live_bytes = sum(message.size for message in self.owed.values())
 
-    def _replay(self, body: bytes) -> bool:
-        """Take in one record; False where it makes no sense."""
+    def _apply_record(self, body: bytes) -> bool:
+        """Apply one record to the messages in memory; False where it can't be decoded."""
         try:
-            if body[0] == TAKEN_KIND:
-                _, number, hard_stop, *lengths, destination = TAKEN.unpack_from(body)
-                texts, at = [], TAKEN.size
+            if body[0] == ACCEPTED_KIND:
+                _, number, deadline, *lengths, destination = ACCEPTED_RECORD.unpack_from(body)
+                texts, offset = [], ACCEPTED_RECORD.size
                 for length in lengths:
-                    texts.append(body[at : at + length])
-                    at += length
-                # Guards rule 1 where the wall clock was set between two lives: a deadline is a span of time.
-                message = OwedMessage(*texts, destination, hard_stop + self._moved, body[at:])
-                message.number = self._last = number
+                    texts.append(body[offset : offset + length])
+                    offset += length
+                # Rule 1 (an outcome in time), where the wall clock was set while no process ran: a
+                # deadline is a span of time and moves with the clock.
+                message = OwedMessage(
+                    *texts, destination, deadline + self._wall_clock_shift_ns, body[offset:]
+                )
+                message.number = self._last_number = number
                 self.owed[number] = message
                 return True
             if body[0] == CLOCK_KIND:
-                _, _, ahead, boot = CLOCK.unpack(body)
-                same_boot = boot == clock.read_boot_id()
-                self._set_back = _set_back_since(ahead) if same_boot else None
-                self._moved = clock.wall_offset() - ahead if same_boot else 0
-                if self._set_back is None or self._set_back >= MILLISECOND:
-                    self._say(f"clock-set-back ns={'unknown' if self._set_back is None else self._set_back}")
+                _, _, recorded_offset, boot_id = CLOCK_RECORD.unpack(body)
+                same_boot = boot_id == clock.read_boot_id()
+                self._set_back_ns = _measure_set_back(recorded_offset) if same_boot else None
+                self._wall_clock_shift_ns = clock.wall_offset() - recorded_offset if same_boot else 0
+                if self._set_back_ns is None or self._set_back_ns >= MILLISECOND:
+                    self._log_line(
+                        f"clock-set-back ns={'unknown' if self._set_back_ns is None else self._set_back_ns}"
+                    )
                 return True
             message = self.owed.get(struct.unpack_from("<Q", body, 1)[0])
-            if body[0] == OVER_KIND:
+            if body[0] == ENDED_KIND:
                 if message:
                     del self.owed[message.number]
             elif message is None:
-                pass  # Guards what comes after: a late word on a message that is over is no damage.
+                pass  # A late record of a message that has ended is no damage: the records after it are read.
             elif body[0] == TRIP_KIND:
-                at = TRIP.unpack(body)[2]
-                message.went_out(OF_ANY_AGE if self._set_back is None else at - self._set_back)
-            elif body[0] == VOID_KIND:
-                message.trips[VOID.unpack(body)[2]][1] = 1
+                sent_at = TRIP_RECORD.unpack(body)[2]
+                message.add_trip(
+                    UNKNOWN_SENT_AT if self._set_back_ns is None else sent_at - self._set_back_ns
+                )
+            elif body[0] == NEVER_RAN_KIND:
+                message.trips[NEVER_RAN_RECORD.unpack(body)[2]][1] = 1
             elif body[0] == GIVEN_UP_KIND:
-                _, _, again, wait = GIVEN_UP.unpack(body)
-                message.given_up = (bool(again), wait)
+                _, _, retryable, wait = GIVEN_UP_RECORD.unpack(body)
+                message.given_up = (bool(retryable), wait)
             else:
                 return False
         except (struct.error, IndexError):
--- a/millweir/net/retry_after.py
+++ b/millweir/net/retry_after.py
@@ -1,8 +1,8 @@
-"""Told waits (retry-after) shared by processes of one relay: they bind all of them, and outlast each.
+"""Shares retry-after waits among the processes of one relay: they bind all of them and outlast each.
 
-Each process writes a file of all waits that it knows of, its own and those it read, so that they outlast a
-chain of upgrades; the files of the others are read every `READ_EVERY` seconds, well within the 100 ms in
-which calls are let through (rule 6).
+Rule 6: a retry-after wait is binding for all messages to that destination.  Each process writes a file of all
+waits that it knows of, its own and those it read, so that they outlast a chain of upgrades.  The files of the
+others are read every `READ_INTERVAL_SECONDS`, well within the 100 ms in which calls are tolerated.
 """
 
 from __future__ import annotations
@@ -15,18 +15,27 @@
 from millweir.facade import DecisionEngine
 from millweir.net import clock
 from millweir.net.heads import MAX_RETRY_AFTER_NS
-from millweir.net.journal import SLOTS, named
+from millweir.net.journal import SLOT_COUNT, build_slot_file_name
 from millweir.net.log import Log
 from millweir.net.times import Unreadable, read_host_times, write_host_times
 
-READ_EVERY = 0.05  # seconds
-KNOWN_WITHIN = 10_000_000  # nanoseconds: a wait that ends so little later than the known one is not written
+READ_INTERVAL_SECONDS = 0.05
+MIN_EXTENSION_NS = 10_000_000  # a wait that ends later than the known one by no more than this is not written
 
 
-class SharedWaits:
+class RetryAfterStore:
     """The waits known to this process: host to the end of its wait, in wall time (nanoseconds)."""
 
-    __slots__ = ("_engine", "_folder", "_log", "_loop", "_read_at", "_slot", "_until", "_wake")
+    __slots__ = (
+        "_engine",
+        "_folder",
+        "_last_mtimes_ns",
+        "_log",
+        "_loop",
+        "_request_turn",
+        "_slot",
+        "_wait_ends",
+    )
 
     def __init__(
         self,
@@ -34,81 +43,83 @@
         folder: Path,
         slot: int,
         engine: DecisionEngine[Any],
-        wake: Callable[[], None],
+        request_turn: Callable[[], None],
         log: Log,
     ) -> None:
-        """`slot` is this process's own among those that share the folder; `wake` asks for a turn."""
+        """`slot` is this process's own among those that share the folder."""
         self._loop, self._folder, self._slot = loop, folder, slot
-        self._engine, self._wake, self._log = engine, wake, log
-        self._until: dict[str, int] = {}
-        self._read_at: dict[int, int] = {}  # slot of another process: its file's time of change when read
+        self._engine, self._request_turn, self._log = engine, request_turn, log
+        self._wait_ends: dict[str, int] = {}
+        self._last_mtimes_ns: dict[int, int] = {}  # by slot: modification time of its file when it was read
 
     def start(self) -> None:
-        """Read what is there, this slot's earlier life included, and go on reading what others write."""
-        self._read_all(first=True)
+        """Read all files, that of this slot's previous process included, and keep reading the others'."""
+        self._read_files(include_own=True)
 
-    def bind(self, hosts: Iterable[str]) -> None:
-        """Tell the decisions of these hosts' waits: they may be listed now, and unknown when it was read.
+    def apply_to_hosts(self, hosts: Iterable[str]) -> None:
+        """Pass these hosts' waits to the engine: they may not have been listed when a file was read.
 
-        Growth: with the hosts given, not with the hosts or waits known.
+        Takes time in proportion to the hosts given, not to the hosts or waits known.
         """
         now = clock.monotonic_ns()
-        wall = clock.to_wall(now)
+        wall_now = clock.to_wall(now)
         for host in hosts:
-            until = self._until.get(host, 0)
-            if until > wall:
-                self._engine.apply_retry_after(now, host.encode(), clock.from_wall(until))
+            wait_end = self._wait_ends.get(host, 0)
+            if wait_end > wall_now:
+                self._engine.apply_retry_after(now, host.encode(), clock.from_wall(wait_end))
 
-    def told(self, host: str, wait: int) -> None:
-        """A wait of so many nanoseconds was told to this process: written for the others."""
+    def record_wait(self, host: str, wait: int) -> None:
+        """Record a wait, in nanoseconds, that a host asked this process for, and write it for the others."""
         now = clock.to_wall(clock.monotonic_ns())
-        if now + wait > self._until.get(host, 0) + KNOWN_WITHIN:
-            self._until[host] = now + wait
+        if now + wait > self._wait_ends.get(host, 0) + MIN_EXTENSION_NS:
+            self._wait_ends[host] = now + wait
             self._write(now)
 
-    def _read_again(self) -> None:
-        self._read_all(first=False)
+    def _poll_files(self) -> None:
+        self._read_files(include_own=False)
 
-    def _read_all(self, first: bool) -> None:
-        grown = [self._read_slot(slot) for slot in range(SLOTS) if first or slot != self._slot]
-        if any(grown):
+    def _read_files(self, include_own: bool) -> None:
+        extended = [self._read_slot(slot) for slot in range(SLOT_COUNT) if include_own or slot != self._slot]
+        if any(extended):
             self._write(clock.to_wall(clock.monotonic_ns()))
-            clock.call_after_poll(self._loop, self._wake)  # after a stall, what came meanwhile is read first
-        self._loop.call_later(READ_EVERY, self._read_again)
+            clock.call_after_poll(
+                self._loop, self._request_turn
+            )  # after a stall, input that arrived is read first
+        self._loop.call_later(READ_INTERVAL_SECONDS, self._poll_files)
 
     def _read_slot(self, slot: int) -> bool:
-        """Whether the file of that slot, if it has changed, held a wait that was not known."""
-        path = self._path(slot)
+        """Read a slot's file if it has changed; returns whether it held a wait that was not known."""
+        path = self._build_path(slot)
         try:
             changed_at = path.stat().st_mtime_ns
-            if changed_at == self._read_at.get(slot):
+            if changed_at == self._last_mtimes_ns.get(slot):
                 return False
-            self._read_at[slot] = changed_at
+            self._last_mtimes_ns[slot] = changed_at
             return self._merge(read_host_times(path))
         except FileNotFoundError:
             return False
-        except (OSError, Unreadable) as fault:
-            self._log.info(f"waits-unreadable slot={slot} {str(fault)[:200]}")
+        except (OSError, Unreadable) as error:
+            self._log.info(f"waits-unreadable slot={slot} {str(error)[:200]}")
             return False
 
     def _merge(self, waits: dict[str, int]) -> bool:
-        """Take the later end of each; one beyond any wait that can be told is not of this deployment."""
+        """Keep the later end of each wait; one that is longer than any host may ask for is ignored."""
         now = clock.monotonic_ns()
-        wall = clock.to_wall(now)
-        grown = False
-        for host, until in waits.items():
-            if max(wall, self._until.get(host, 0)) < until <= wall + MAX_RETRY_AFTER_NS:
-                self._until[host] = until
-                self._engine.apply_retry_after(now, host.encode(), clock.from_wall(until))
-                grown = True
-        return grown
+        wall_now = clock.to_wall(now)
+        extended = False
+        for host, wait_end in waits.items():
+            if max(wall_now, self._wait_ends.get(host, 0)) < wait_end <= wall_now + MAX_RETRY_AFTER_NS:
+                self._wait_ends[host] = wait_end
+                self._engine.apply_retry_after(now, host.encode(), clock.from_wall(wait_end))
+                extended = True
+        return extended
 
     def _write(self, now: int) -> None:
-        self._until = {host: until for host, until in self._until.items() if until > now}
+        self._wait_ends = {host: wait_end for host, wait_end in self._wait_ends.items() if wait_end > now}
         try:
-            write_host_times(self._path(self._slot), self._until)
-        except OSError as fault:  # happens often if at all: rate-limited
-            self._log.info(f"waits-unwritten {fault}")
+            write_host_times(self._build_path(self._slot), self._wait_ends)
+        except OSError as error:  # if it happens at all, it happens often: the rate-limited log level is used
+            self._log.info(f"waits-unwritten {error}")
 
-    def _path(self, slot: int) -> Path:
-        return self._folder / named(slot, ".waits")
+    def _build_path(self, slot: int) -> Path:
+        return self._folder / build_slot_file_name(slot, ".waits")
--- a/millweir/net/service_classes.py
+++ b/millweir/net/service_classes.py
@@ -1,7 +1,7 @@
-"""The service classes of the settings, by name, with the numbers under which the decisions know them.
+"""Maps the service classes of the settings, by name, to the numbers that the decision engine knows them by.
 
-A reload of the settings adds what is new or changed under new numbers, so that messages under way keep the
-terms under which they were taken on.
+A reload of the settings adds new and changed classes under new numbers, so that messages already accepted
+keep the terms under which they were accepted.
 """
 
 from __future__ import annotations
@@ -15,15 +15,15 @@
 
 
 class ServiceClasses:
-    """What clients may name in a request, and what an earlier life may have taken a message on under."""
+    """The classes that clients may name in a request, and those of messages accepted before a restart."""
 
-    __slots__ = ("_by_name", "_by_number", "_engine", "_stand_in", "settings")
+    __slots__ = ("_by_name", "_by_number", "_engine", "_fallback_number", "settings")
 
     def __init__(self, settings: Settings, engine: DecisionEngine[Any]) -> None:
         self.settings, self._engine = settings, engine
-        self._by_name = {profile.name.encode(): at for at, profile in enumerate(settings.profiles)}
+        self._by_name = {profile.name.encode(): number for number, profile in enumerate(settings.profiles)}
         self._by_number = list(settings.profiles)
-        self._stand_in: int | None = None  # number of the class for messages of those listed no more
+        self._fallback_number: int | None = None  # of the class for messages whose own is no longer listed
 
     def __contains__(self, name: bytes) -> bool:
         return name in self._by_name
@@ -31,30 +31,30 @@
     def __len__(self) -> int:
         return len(self._by_name)
 
-    def number(self, name: bytes) -> int:
-        """Its number; one that is listed no more is stood in for.
+    def get_number(self, name: bytes) -> int:
+        """Return the class's number, or that of a fallback class where it is no longer listed.
 
-        Guards what an earlier settings file took on: it is still tried, as what may run only once.
+        A message accepted under an earlier settings file is then still tried, as non-idempotent.
         """
-        number = self._by_name.get(name, self._stand_in)
+        number = self._by_name.get(name, self._fallback_number)
         if number is None:
-            stand_in = make_fallback_profile(self.settings)
-            number = self._engine.update_settings(replace(self.settings, profiles=(stand_in,)))
-            self._by_number.append(stand_in)
-            self._stand_in = number
+            fallback = make_fallback_profile(self.settings)
+            number = self._engine.update_settings(replace(self.settings, profiles=(fallback,)))
+            self._by_number.append(fallback)
+            self._fallback_number = number
         return number
 
     def reload(self, settings: Settings) -> int:
         """Use these settings from now on; returns how many classes are new or changed."""
         self.settings = settings
-        fresh = [profile for profile in settings.profiles if not self._is_known(profile)]
-        first = self._engine.update_settings(replace(settings, profiles=tuple(fresh)))
-        self._by_number += fresh
+        changed = [profile for profile in settings.profiles if not self._is_known(profile)]
+        first_number = self._engine.update_settings(replace(settings, profiles=tuple(changed)))
+        self._by_number += changed
         names = [profile.name.encode() for profile in settings.profiles]
         kept = {name: self._by_name[name] for name in names if name in self._by_name}
-        added = {profile.name.encode(): first + at for at, profile in enumerate(fresh)}
+        added = {profile.name.encode(): first_number + offset for offset, profile in enumerate(changed)}
         self._by_name = kept | added
-        return len(fresh)
+        return len(changed)
 
     def _is_known(self, profile: Any) -> bool:
         number = self._by_name.get(profile.name.encode())
--- a/millweir/operator/__init__.py
+++ b/millweir/operator/__init__.py
@@ -1,1 +1,1 @@
-"""The operator's file: what is switched on besides the platform's protocol."""
+"""The operator's file: optional components besides the platform's protocol."""
--- a/millweir/operator/events.py
+++ b/millweir/operator/events.py
@@ -1,6 +1,6 @@
-"""Structured events of the parts: one JSON line each on standard error, of types that are declared.
+"""Structured events of the components: each is of a declared type and one JSON line on standard error.
 
-Each event is limited by itself; the next one that has room says how many were dropped before it.
+Each type has a rate limit of its own; the next event that is written says how many were dropped before it.
 """
 
 from __future__ import annotations
@@ -11,45 +11,47 @@
 
 import msgspec
 
-SECOND = 1_000_000_000
+SECOND_NS = 1_000_000_000
 
 
 class Event(msgspec.Struct, frozen=True, kw_only=True, tag_field="event", omit_defaults=True):
-    """What every event is built on; a part declares one type for each, with its tag."""
+    """The base of all events; a component declares one type for each event, with its tag."""
 
     at: float  # Unix time
-    dropped: int = 0  # events of this kind dropped before this one
+    dropped: int = 0  # events of this type dropped before this one
 
 
-def table(*kinds: type[Event]) -> dict[str, type[Event]]:
-    return {kind.__struct_config__.tag: kind for kind in kinds}
+def index_event_types(*event_types: type[Event]) -> dict[str, type[Event]]:
+    return {event_type.__struct_config__.tag: event_type for event_type in event_types}
 
 
-class Events:
-    """Says events, so many of each a second; watchers see them all."""
+class EventLog:
+    """Writes events, a limited number of each type a second; watchers get all of them."""
 
-    __slots__ = ("_kinds", "_left", "_rate", "watchers")
+    __slots__ = ("_event_types", "_max_per_second", "_windows", "watchers")
 
-    def __init__(self, kinds: dict[str, type[Event]], rate: int = 50) -> None:
-        self._kinds, self._rate = kinds, rate
-        self._left: dict[str, list[int]] = {}  # event: since when, left, dropped
+    def __init__(self, event_types: dict[str, type[Event]], max_per_second: int = 50) -> None:
+        self._event_types, self._max_per_second = event_types, max_per_second
+        self._windows: dict[str, list[int]] = {}  # by event: start of the second, events remaining, dropped
         self.watchers: set[Callable[[bytes], None]] = set()
 
-    def say(self, event: str, **fields: object) -> None:
+    def emit(self, event: str, **fields: object) -> None:
         now = time.monotonic_ns()
-        left = self._left.setdefault(event, [now, self._rate, 0])
-        if now - left[0] >= SECOND:
-            left[0], left[1] = now, self._rate
-        line = self._kinds[event](at=round(time.time(), 3), dropped=left[2] if left[1] > 0 else 0, **fields)
-        raw = msgspec.json.encode(line) + b"\n"
+        window = self._windows.setdefault(event, [now, self._max_per_second, 0])
+        if now - window[0] >= SECOND_NS:
+            window[0], window[1] = now, self._max_per_second
+        record = self._event_types[event](
+            at=round(time.time(), 3), dropped=window[2] if window[1] > 0 else 0, **fields
+        )
+        raw = msgspec.json.encode(record) + b"\n"
         for watcher in list(self.watchers):
             watcher(raw)
-        if left[1] <= 0:
-            left[2] += 1
+        if window[1] <= 0:
+            window[2] += 1
             return
-        left[1], left[2] = left[1] - 1, 0
+        window[1], window[2] = window[1] - 1, 0
         try:
             sys.stderr.write(raw.decode())
             sys.stderr.flush()
         except OSError:
-            left[2] += 1
+            window[2] += 1
--- a/millweir/operator/units.py
+++ b/millweir/operator/units.py
@@ -1,29 +1,35 @@
-"""Spans, sizes and addresses as an operator writes them."""
+"""Durations, sizes and addresses as they are written in the operator's file."""
 
 from __future__ import annotations
 
 import re
 from typing import Any
 
-SPANS = {"us": 1_000, "ms": 1_000_000, "s": 1_000_000_000, "m": 60_000_000_000, "h": 3_600_000_000_000}
-SIZES = {"B": 1, "KiB": 1 << 10, "MiB": 1 << 20}
-NUMBER = re.compile(r"(\d{1,9}(?:\.\d{1,6})?) ?([a-zA-Z]+)")
+DURATION_UNITS_NS = {
+    "us": 1_000,
+    "ms": 1_000_000,
+    "s": 1_000_000_000,
+    "m": 60_000_000_000,
+    "h": 3_600_000_000_000,
+}
+SIZE_UNITS_BYTES = {"B": 1, "KiB": 1 << 10, "MiB": 1 << 20}
+QUANTITY_PATTERN = re.compile(r"(\d{1,9}(?:\.\d{1,6})?) ?([a-zA-Z]+)")
 
 
-class Span(int):
+class Duration(int):
     """Nanoseconds, written as "250ms"."""
 
 
-class Size(int):
+class ByteSize(int):
     """Bytes, written as "64KiB"."""
 
 
-class Place(str):
+class SocketAddress(str):
     """`host:port`."""
 
 
-def _measured(text: Any, units: dict[str, int], example: str) -> int:
-    match = NUMBER.fullmatch(text) if isinstance(text, str) else None
+def _parse_quantity(text: Any, units: dict[str, int], example: str) -> int:
+    match = QUANTITY_PATTERN.fullmatch(text) if isinstance(text, str) else None
     if not match or match[2] not in units:
         raise ValueError(f"want a number and one of {', '.join(units)}, as in {example!r}, not {text!r}")
     return round(float(match[1]) * units[match[2]])
@@ -37,15 +43,15 @@
     return host, int(port)
 
 
-def decode(kind: type, given: Any) -> Any:
-    """The hook by which msgspec reads the types above; ValueError says what is wrong."""
-    if kind is Span:
-        return Span(_measured(given, SPANS, "250ms"))
-    if kind is Size:
-        return Size(_measured(given, SIZES, "64KiB"))
-    if kind is Place:
+def decode_unit(target_type: type, given: Any) -> Any:
+    """Decode the types above, as a hook for msgspec; ValueError says what is wrong."""
+    if target_type is Duration:
+        return Duration(_parse_quantity(given, DURATION_UNITS_NS, "250ms"))
+    if target_type is ByteSize:
+        return ByteSize(_parse_quantity(given, SIZE_UNITS_BYTES, "64KiB"))
+    if target_type is SocketAddress:
         if not isinstance(given, str):
             raise ValueError(f"want host:port, not {given!r}")
         address(given)
-        return Place(given)
-    raise NotImplementedError(kind)
+        return SocketAddress(given)
+    raise NotImplementedError(target_type)
--- a/tests/lab/test_cluster.py
+++ b/tests/lab/test_cluster.py
@@ -13,10 +13,10 @@
 from millweir.lab.cluster import Rig
 from millweir.lab.processes import until
 from millweir.lab.scenario import Fault, Scenario
-from millweir.operator.units import Span
+from millweir.operator.units import Duration
 
 S = 1_000_000_000
-QUICK = Span(S // 5)
+QUICK = Duration(S // 5)
 BOUND = 60  # seconds for what takes two or three on a quiet machine
 
 
@@ -25,7 +25,7 @@
 
 
 def span(seconds):
-    return Span(round(seconds * S))
+    return Duration(round(seconds * S))
 
 
 def run(play, relays=3):
--- a/tests/lab/test_scenario.py
+++ b/tests/lab/test_scenario.py
@@ -3,13 +3,13 @@
 import pytest
 
 from millweir.lab.scenario import HOST, LINK, PROCESS, Scenario, read_scenario, timeline
-from millweir.operator.units import Span
+from millweir.operator.units import Duration
 
 S = 1_000_000_000
 
 
 def test_the_same_seed_gives_the_same_timeline():
-    scenario = Scenario(span=Span(600 * S), calm=Span(60 * S), compose=PROCESS + HOST + LINK)
+    scenario = Scenario(span=Duration(600 * S), calm=Duration(60 * S), compose=PROCESS + HOST + LINK)
     assert timeline(scenario, 7) == timeline(scenario, 7) != timeline(scenario, 8)
     kinds = set()
     for seed in range(30):
--- a/tests/lab/test_slow_start.py
+++ b/tests/lab/test_slow_start.py
@@ -12,7 +12,7 @@
 
 from millweir.lab.cluster import Rig
 from millweir.lab.scenario import Fault, Scenario
-from millweir.operator.units import Span
+from millweir.operator.units import Duration
 
 S = 1_000_000_000
 DESTINATIONS = 12
@@ -23,11 +23,11 @@
     host_rate=4.0,
     rate=0.8 * 4.0 * DESTINATIONS,
     members=False,
-    span=Span(20 * S),
+    span=Duration(20 * S),
     fault=(
         Fault(
-            at=Span(2 * S),
-            span=Span(10 * S),
+            at=Duration(2 * S),
+            span=Duration(10 * S),
             kind="refuse",
             who=tuple(f"h{number}" for number in range(DESTINATIONS)),
         ),
@@ -41,18 +41,18 @@
     host_rate=4.0,
     rate=0.8 * 4.0 * DESTINATIONS,
     members=False,
-    span=Span(20 * S),
+    span=Duration(20 * S),
     fault=(
         Fault(
-            at=Span(2 * S),
-            span=Span(10 * S),
+            at=Duration(2 * S),
+            span=Duration(10 * S),
             kind="shut",
             share=1.0,
             who=tuple(f"h{number}" for number in range(DESTINATIONS)),
         ),
         Fault(
-            at=Span(int(9.5 * S)),
-            span=Span(int(0.4 * S)),
+            at=Duration(int(9.5 * S)),
+            span=Duration(int(0.4 * S)),
             kind="kill",
             who=tuple(f"r{number}" for number in range(1, 31)),
         ),
--- a/tests/net/inside.py
+++ b/tests/net/inside.py
@@ -119,7 +119,7 @@
 
 
 class InProcessRelay:
-    """One relay: `desk` gives access to its components, `server_task` is done when its process would end."""
+    """One relay: `server` gives access to its components, `server_task` is done when its process would end."""
 
     def __init__(self, platform, folder, monkeypatch, config, **bounds):
         self.platform = platform
@@ -128,7 +128,7 @@
         self.folder.mkdir(exist_ok=True)
         self.config = config
         self.bounds = bounds
-        self.desk = None
+        self.server = None
         self.clients = []
         with socket.create_server(("127.0.0.1", 0)) as free:
             self.port = free.getsockname()[1]
@@ -162,21 +162,21 @@
                 super().__init__(*args)
                 self.bounds = replace(self.bounds, **given)
 
-        class Desk(main.Desk):
-            def __init__(desk, *args):
-                self.desk = desk
+        class RelayServer(main.RelayServer):
+            def __init__(server, *args):
+                self.server = server
                 super().__init__(*args)
 
         self.patch.setattr(main, "DecisionEngine", DecisionEngine)
-        self.patch.setattr(main, "Desk", Desk)
+        self.patch.setattr(main, "RelayServer", RelayServer)
         self.server_task = asyncio.get_running_loop().create_task(self._serve(config))
-        await self.until(lambda: self.desk and self.desk.healthy() and self.listens())
-        await self.until(lambda: not self.desk._known_list)  # discovery has answered
+        await self.until(lambda: self.server and self.server.is_ready() and self.listens())
+        await self.until(lambda: not self.server._cached_list)  # discovery has answered
         return self
 
     async def _serve(self, config):
         await main.serve(config)
-        for connection in list(self.desk.clients._connections):
+        for connection in list(self.server.clients._connections):
             connection.abort()  # as the system does when a process ends
 
     def listens(self):
@@ -210,7 +210,7 @@
 
     def owed(self):
         """Read the journal as the next start does, after the end of this one: trips by message id."""
-        self.desk._journal.close()
+        self.server._journal.close()
         journal = Journal(self.folder, 500_000, 400_000, print)
         found = {message.id.decode(): len(message.trips) for message in journal.owed.values()}
         journal.close()
@@ -228,8 +228,8 @@
         finally:
             for client in relay.clients:
                 client.close()
-            relay.desk.stop()
-            relay.desk._journal.close()
+            relay.server.stop()
+            relay.server._journal.close()
             await asyncio.wait_for(relay.server_task, TIMEOUT_SECONDS)
 
     thresholds, descriptors = gc.get_threshold(), len(os.listdir("/proc/self/fd"))
--- a/tests/net/test_calls.py
+++ b/tests/net/test_calls.py
@@ -30,7 +30,7 @@
 
 async def submit_while_connecting(relay, *idents, **given):
     """Submit messages whose connection does not open before the gate."""
-    gate = relay.desk._hosts.loop = GatedLoop(relay.desk._hosts.loop)
+    gate = relay.server._hosts.loop = GatedLoop(relay.server._hosts.loop)
     await submit_messages(relay, *idents, **given)
     await relay.until(lambda: gate.waiting)
     return gate
@@ -42,7 +42,7 @@
     async def steps(relay):
         gate = await submit_while_connecting(relay, "late")
         wait_end = time.monotonic() + 0.4
-        relay.desk._engine.apply_retry_after(
+        relay.server._engine.apply_retry_after(
             clock.monotonic_ns(), b"h0", clock.monotonic_ns() + 400 * MILLISECOND
         )
         gate.open.set()
@@ -62,7 +62,7 @@
     async def steps(relay):
         gate = await submit_while_connecting(relay, "late")
         platform.add("h0", status="DRAINING")
-        await relay.until(lambda: relay.desk._engine._relay._hosts[b"h0"].drain_started_at)
+        await relay.until(lambda: relay.server._engine._relay._hosts[b"h0"].drain_started_at)
         advance_clock(monkeypatch, SECOND)  # the drain's grace is over
         gate.open.set()
         platform.add("h1")
@@ -76,7 +76,7 @@
     platform = Platform(hosts=1)
 
     async def steps(relay):
-        relay.desk._hosts._connect_timeout = 5.0  # seconds: the deadline is earlier, also on a slow machine
+        relay.server._hosts._connect_timeout = 5.0  # seconds: the deadline is earlier, also on a slow machine
         gate = await submit_while_connecting(relay, "late", left="150m")
         await relay.until(lambda: platform.notification_results("late"))
         gate.open.set()
@@ -91,7 +91,7 @@
     platform = Platform(hosts=1)
 
     async def steps(relay):
-        gate = relay.desk._hosts.loop = GatedLoop(relay.desk._hosts.loop)
+        gate = relay.server._hosts.loop = GatedLoop(relay.server._hosts.loop)
         gate.open.set()
 
         def lose_first_call(call):
@@ -118,7 +118,7 @@
 
 async def wait_for_held_call(relay):
     """Wait until a call is written except for its last byte."""
-    calls = relay.desk._hosts._calls
+    calls = relay.server._hosts._calls
     await relay.until(lambda: any(call.connection and not call._journaled_trips for call in calls.values()))
 
 
@@ -130,8 +130,10 @@
         await submit_messages(relay, *idents, profile="again")
         await wait_for_held_call(relay)
         wait_end = time.monotonic() + 0.5
-        relay.desk._engine.apply_retry_after(clock.monotonic_ns(), b"h0", clock.monotonic_ns() + SECOND // 2)
-        await relay.until(lambda: not relay.desk._journal.owed)
+        relay.server._engine.apply_retry_after(
+            clock.monotonic_ns(), b"h0", clock.monotonic_ns() + SECOND // 2
+        )
+        await relay.until(lambda: not relay.server._journal.owed)
         assert sorted(row["id"] for call in platform.calls for row in call.rows) == idents
         assert all(call.at >= wait_end for call in platform.calls) and not platform.notifications
 
@@ -145,7 +147,7 @@
         await submit_messages(relay, "held")
         await wait_for_held_call(relay)
         platform.add("h0", status="DRAINING")
-        await relay.until(lambda: relay.desk._engine._relay._hosts[b"h0"].drain_started_at)
+        await relay.until(lambda: relay.server._engine._relay._hosts[b"h0"].drain_started_at)
         advance_clock(monkeypatch, SECOND)  # the drain's grace is over
         platform.add("h1")
         await relay.until(lambda: platform.sent("held"))
@@ -180,7 +182,7 @@
 
     async def steps(relay):
         await submit_messages(relay, "a", profile=profile, **{"Idempotency-Key": "k"})
-        await relay.until(lambda: not relay.desk._journal.owed)
+        await relay.until(lambda: not relay.server._journal.owed)
         assert len(platform.sent("a")) == trips and platform.notification_results("a") == ["dead"] * (
             trips == 1
         )
@@ -234,7 +236,7 @@
         host.sendall(early_bytes)  # a late response to an earlier call, or to none
         if ends:
             cut(host)
-        await relay.until(lambda: not relay.desk._journal.owed)
+        await relay.until(lambda: not relay.server._journal.owed)
         assert len(platform.sent("early")) == 1 and not platform.notifications
 
     run_with_relay(platform, tmp_path, monkeypatch, steps, last_byte_hold_ns=HOLD_TIME_NS)
@@ -244,21 +246,21 @@
     platform = Platform(hosts=1, kind="big")
 
     async def steps(relay):
-        gate = relay.desk._hosts.loop = GatedLoop(relay.desk._hosts.loop)
+        gate = relay.server._hosts.loop = GatedLoop(relay.server._hosts.loop)
         (client,) = await relay.connect_clients()
-        relay.desk._engine.apply_retry_after(
+        relay.server._engine.apply_retry_after(
             clock.monotonic_ns(), b"h0", clock.monotonic_ns() + 50 * MILLISECOND
         )
         client.send(request("stays", "once") + request("ends", "once", left="3000m"))
         assert await client.statuses(2) == [202] * 2
         await relay.until(lambda: gate.waiting)
-        (call,) = relay.desk._hosts._calls.values()
+        (call,) = relay.server._hosts._calls.values()
         assert len(call.pending_parts) == 2
         advance_clock(monkeypatch, 3 * SECOND)
-        relay.desk.wake()
+        relay.server.request_turn()
         await relay.until(lambda: platform.notification_results("ends"))
         gate.open.set()
-        await relay.until(lambda: not relay.desk._journal.owed)
+        await relay.until(lambda: not relay.server._journal.owed)
         assert [call.id for call in platform.calls] == ["stays"] and not platform.notification_results(
             "stays"
         )
@@ -273,12 +275,12 @@
 
     async def steps(relay):
         await submit_messages(relay, "first")
-        await relay.until(lambda: relay.desk._hosts._idle)
+        await relay.until(lambda: relay.server._hosts._idle)
         (client,) = await relay.connect_clients()
         client.send(request("next", "once"))
         cut(platform.endpoints["h0"][1][-1])  # the sockets hold both before the loop runs on
         assert await client.statuses(1) == [202]
-        await relay.until(lambda: not relay.desk._journal.owed)
+        await relay.until(lambda: not relay.server._journal.owed)
         assert len(platform.sent("next")) == 1 and not platform.notifications
 
     run_with_relay(platform, tmp_path, monkeypatch, steps)
@@ -289,11 +291,11 @@
 
     async def steps(relay):
         await submit_messages(relay, "first")
-        await relay.until(lambda: relay.desk._hosts._idle)
+        await relay.until(lambda: relay.server._hosts._idle)
         cut(platform.endpoints["h0"][1][-1])
-        await relay.until(lambda: not relay.desk._hosts._idle)
+        await relay.until(lambda: not relay.server._hosts._idle)
         await submit_messages(relay, "next")
-        await relay.until(lambda: not relay.desk._journal.owed)
+        await relay.until(lambda: not relay.server._journal.owed)
         assert len(platform.sent("first")) == len(platform.sent("next")) == 1 and not platform.notifications
 
     run_with_relay(platform, tmp_path, monkeypatch, steps)
@@ -309,7 +311,7 @@
     owed(folder, (b"a", b"marked", 0))
     journal = Journal(folder, 500_000, 400_000, print)
     # The call may have run; hosts recognise a repeat for 6 s.
-    journal.trip(list(journal.owed.values()), time.time_ns() - age * SECOND)
+    journal.record_trips(list(journal.owed.values()), time.time_ns() - age * SECOND)
     journal.close()
     platform = Platform(hosts=1)
     start(platform)
--- a/tests/net/test_closing.py
+++ b/tests/net/test_closing.py
@@ -43,8 +43,8 @@
         monkeypatch.undo()
         assert (await client.end()).whole and client.answers == [status]
         client.close()
-        await relay.until(lambda: not relay.desk.clients._connections)
-        assert not platform.calls and not relay.desk._journal.owed
+        await relay.until(lambda: not relay.server.clients._connections)
+        assert not platform.calls and not relay.server._journal.owed
 
     run_with_relay(platform, tmp_path, monkeypatch, steps)
 
@@ -56,7 +56,7 @@
         assert await client.statuses(1) == [408]
         client.send(raw[-1500:])
         assert (await client.end()).whole and client.answers == [408]
-        assert not relay.desk._journal.owed
+        assert not relay.server._journal.owed
 
     run_with_relay(Platform(hosts=1), tmp_path, monkeypatch, steps, request_timeout_ns=SECOND // 10)
 
@@ -64,9 +64,9 @@
 def test_a_client_that_does_not_close_its_end_is_closed_after_a_time_limit(tmp_path, monkeypatch):
     async def steps(relay):
         (client,) = await relay.connect_clients()
-        relay.desk.quiesce()
+        relay.server.quiesce()
         await client.end()  # the client keeps its end open
-        await relay.until(lambda: not relay.desk.clients._connections)
+        await relay.until(lambda: not relay.server.clients._connections)
 
     run_with_relay(Platform(hosts=1), tmp_path, monkeypatch, steps, client_grace_ns=SECOND // 5)
 
@@ -74,12 +74,12 @@
 def test_a_client_that_keeps_sending_after_the_close_is_reset(tmp_path, monkeypatch):
     async def steps(relay):
         (client,) = await relay.connect_clients()
-        relay.desk.clients.close_idle("leaving")
+        relay.server.clients.close_idle("leaving")
         await client.end()
         while not client.reset:
             client.send(UNREAD_BYTES)
             await asyncio.sleep(0.001)
-        await relay.until(lambda: not relay.desk.clients._connections)
+        await relay.until(lambda: not relay.server.clients._connections)
 
     run_with_relay(Platform(hosts=1), tmp_path, monkeypatch, steps, client_grace_ns=60 * SECOND)
 
@@ -101,7 +101,7 @@
         for _ in range(100):  # none of the clients closes its end
             await relay.connect_clients()
             # One aborted in this loop iteration is still counted.
-            assert len(relay.desk.clients._connections) <= 11
+            assert len(relay.server.clients._connections) <= 11
 
     run_with_relay(
         Platform(hosts=1), tmp_path, monkeypatch, steps, max_client_connections=8, client_grace_ns=60 * SECOND
@@ -117,11 +117,11 @@
         client.send(raw)
         if gone:
             client.close()
-        await relay.until(lambda: relay.desk._counters.counts["requests_withdrawn"])
+        await relay.until(lambda: relay.server._counters.counts["requests_withdrawn"])
         await relay.until(
-            lambda: not relay.desk.clients._connections and not relay.desk.clients.received_requests
+            lambda: not relay.server.clients._connections and not relay.server.clients.received_requests
         )
-        assert not relay.desk._journal.owed and not relay.desk._owed
+        assert not relay.server._journal.owed and not relay.server._owed
         (other,) = await relay.connect_clients()
         other.send(request("next"))
         assert await other.statuses(1) == [202]
@@ -137,8 +137,8 @@
         for n, client in enumerate(clients):
             client.send(request(f"p{n}"))
             client.close()  # the sockets hold both before the loop runs on
-        await relay.until(lambda: not relay.desk.clients._connections)
-        assert relay.desk._counters.counts["requests_withdrawn"] == 50
-        assert not relay.desk._journal.owed and not platform.calls and not relay.desk._owed
+        await relay.until(lambda: not relay.server.clients._connections)
+        assert relay.server._counters.counts["requests_withdrawn"] == 50
+        assert not relay.server._journal.owed and not platform.calls and not relay.server._owed
 
     run_with_relay(platform, tmp_path, monkeypatch, steps)
--- a/tests/net/test_cold_hosts.py
+++ b/tests/net/test_cold_hosts.py
@@ -1,4 +1,7 @@
-"""What a relay knows of outages outlasts its process, and a process beside it hears of it (rule 4)."""
+"""The state of recovering hosts survives a restart and reaches a concurrent process.
+
+Otherwise a restarted relay would overload a host that is back from an outage (rule 4).
+"""
 
 import asyncio
 import errno
@@ -13,12 +16,12 @@
 from millweir.events import RecoveringHost
 from millweir.net import clock, cold_hosts
 from millweir.net.cold_hosts import (
-    FILE,
-    ColdHostsFile,
-    KnownColdHosts,
+    FILE_NAME,
+    RecoveringHostsFile,
+    RecoveringHostStore,
     Unreadable,
-    decode_cold_hosts,
-    encode_cold_hosts,
+    decode_recovering_hosts,
+    encode_recovering_hosts,
 )
 from millweir.net.journal import Journal
 
@@ -28,18 +31,18 @@
 
 
 class Decisions:
-    """Stands in for the facade: what is cold, and which hosts are listed."""
+    """Stands in for the decision engine: recovering hosts, and which hosts are listed."""
 
     def __init__(self, *hosts, listed=()):
-        self.hosts, self.listed, self.told, self.recovering_changes = list(hosts), set(listed), [], 0
+        self.hosts, self.listed, self.restored, self.recovering_changes = list(hosts), set(listed), [], 0
 
     def list_recovering_hosts(self):
         return self.hosts
 
-    def restore_host(self, now, cold):
-        if cold.host not in self.listed:
+    def restore_host(self, now, recovering):
+        if recovering.host not in self.listed:
             return False
-        self.told.append(cold)
+        self.restored.append(recovering)
         return True
 
 
@@ -49,18 +52,22 @@
     always = info = list.append
 
 
-def known(folder, decisions, slot=0, lines=None):
+def make_store(folder, decisions, slot=0, lines=None):
     loop = asyncio.get_running_loop()
-    return KnownColdHosts(loop, folder, slot, decisions, lambda: None, Lines() if lines is None else lines)
+    return RecoveringHostStore(
+        loop, folder, slot, decisions, lambda: None, Lines() if lines is None else lines
+    )
 
 
 def test_hosts_are_read_back_and_times_of_another_boot_count_as_now():
     hosts = [EJECTED, IN_SLOW_START, REFUSED]
-    raw = encode_cold_hosts(hosts, "this boot", 9)
-    assert decode_cold_hosts(raw, "this boot", 99) == ColdHostsFile(9, hosts)
-    as_seen_now = ColdHostsFile(0, [replace(host, last_failure_at=99, recovered_at=0) for host in hosts])
-    for boot, written in (("another", raw), ("", encode_cold_hosts(hosts, "", 9))):
-        assert decode_cold_hosts(written, boot, 99) == as_seen_now
+    raw = encode_recovering_hosts(hosts, "this boot", 9)
+    assert decode_recovering_hosts(raw, "this boot", 99) == RecoveringHostsFile(9, hosts)
+    as_seen_now = RecoveringHostsFile(
+        0, [replace(host, last_failure_at=99, recovered_at=0) for host in hosts]
+    )
+    for boot, written in (("another", raw), ("", encode_recovering_hosts(hosts, "", 9))):
+        assert decode_recovering_hosts(written, boot, 99) == as_seen_now
 
 
 @pytest.mark.parametrize(
@@ -75,24 +82,24 @@
         b'{"boot": "x", "written_at": 1, "hosts": {"a": [1, -2, 0, 0]}}',
         b'{"boot": "x", "written_at": 1, "hosts": {"a": [1, NaN, 0, 0]}}',
         b'{"boot": "x", "written_at": 1, "hosts": {"a": ["1", 2, 0, 0]}}',
-        encode_cold_hosts([EJECTED], "x", 1)[:-3],
+        encode_recovering_hosts([EJECTED], "x", 1)[:-3],
     ],
 )
-def test_a_torn_or_foreign_file_is_a_line_in_the_log(raw, tmp_path):
+def test_an_invalid_file_is_logged_and_ignored(raw, tmp_path):
     with pytest.raises(Unreadable):
-        decode_cold_hosts(raw, "x", 1)
-    (tmp_path / FILE).write_bytes(raw)
+        decode_recovering_hosts(raw, "x", 1)
+    (tmp_path / FILE_NAME).write_bytes(raw)
 
     async def read():
         lines = Lines()
-        known(tmp_path, Decisions(), lines=lines).read()
+        make_store(tmp_path, Decisions(), lines=lines).read_file()
         return lines
 
     assert "cold-hosts-unreadable" in asyncio.run(read())[0]
 
 
-def test_what_a_failing_folder_did_not_take_is_written_once_it_does(tmp_path, monkeypatch):
-    monkeypatch.setattr(cold_hosts, "WRITE_AGAIN_AFTER", 0.02)
+def test_a_write_that_failed_is_repeated_until_the_folder_takes_it(tmp_path, monkeypatch):
+    monkeypatch.setattr(cold_hosts, "WRITE_RETRY_SECONDS", 0.02)
     fails = iter([errno.ENOSPC, errno.EIO])
     rename = os.replace
 
@@ -105,65 +112,67 @@
 
     async def scene():
         decisions, lines = Decisions(EJECTED), Lines()
-        kept = known(tmp_path, decisions, lines=lines)
-        kept.note_changes()  # nothing has changed
+        store = make_store(tmp_path, decisions, lines=lines)
+        store.schedule_write_if_changed()  # nothing has changed
         decisions.recovering_changes = 1
-        kept.note_changes()
+        store.schedule_write_if_changed()
         await asyncio.sleep(0.3)
         return lines
 
     lines = asyncio.run(scene())
     assert sum("cold-hosts-unwritten" in line for line in lines) == 2
-    assert decode_cold_hosts((tmp_path / FILE).read_bytes(), clock.read_boot_id().hex(), 1).hosts == [EJECTED]
+    assert decode_recovering_hosts(
+        (tmp_path / FILE_NAME).read_bytes(), clock.read_boot_id().hex(), 1
+    ).hosts == [EJECTED]
 
 
-def test_a_process_beside_hears_of_it_and_what_it_had_not_known_stays_in_the_file(tmp_path):
+def test_a_concurrent_process_reads_the_file_and_keeps_hosts_that_it_did_not_know(tmp_path):
     async def scene():
         old, new = Decisions(EJECTED), Decisions(REFUSED, listed=[b"a"])
-        of_old, of_new = known(tmp_path, old), known(tmp_path, new, slot=1)
+        old_store, new_store = make_store(tmp_path, old), make_store(tmp_path, new, slot=1)
         old.recovering_changes = 1
-        of_old.note_changes()
-        of_old.close()
-        of_new.read()
-        assert new.told == [EJECTED]
+        old_store.schedule_write_if_changed()
+        old_store.close()
+        new_store.read_file()
+        assert new.restored == [EJECTED]
         new.hosts.append(EJECTED)
-        of_new.close()  # the file lacked what it knew itself
+        new_store.close()  # the file lacked a host that this process knew
         old.listed.add(b"c")
-        of_old.read()
-        assert old.told == [REFUSED]
+        old_store.read_file()
+        assert old.restored == [REFUSED]
 
     asyncio.run(scene())
 
 
-def test_hosts_not_listed_yet_are_told_once_they_are_and_stay_in_the_file(tmp_path):
-    (tmp_path / FILE).write_bytes(encode_cold_hosts([EJECTED], clock.read_boot_id().hex(), 1))
+def test_hosts_not_listed_yet_stay_in_the_file_and_are_restored_once_listed(tmp_path):
+    (tmp_path / FILE_NAME).write_bytes(encode_recovering_hosts([EJECTED], clock.read_boot_id().hex(), 1))
 
     async def scene():
         decisions = Decisions()
-        kept = known(tmp_path, decisions)
-        kept.read()
+        store = make_store(tmp_path, decisions)
+        store.read_file()
         decisions.recovering_changes = 1
-        kept.note_changes()
-        kept.close()
-        assert b'"a"' in (tmp_path / FILE).read_bytes()
+        store.schedule_write_if_changed()
+        store.close()
+        assert b'"a"' in (tmp_path / FILE_NAME).read_bytes()
         decisions.listed.add(b"a")
-        kept.bind(["a", "other"])
-        kept.bind(["a"])
-        assert [host.host for host in decisions.told] == [b"a"]
+        store.apply_to_hosts(["a", "other"])
+        store.apply_to_hosts(["a"])
+        assert [host.host for host in decisions.restored] == [b"a"]
 
     asyncio.run(scene())
 
 
-def test_a_process_sees_whether_another_one_holds_a_slot_of_its_folder(tmp_path):
+def test_a_process_detects_another_one_that_holds_a_slot_of_its_folder(tmp_path):
     def journal():
         return Journal(tmp_path, 500_000, 400_000, print)
 
     old = journal()
-    assert not old.process_beside()
+    assert not old.has_concurrent_process()
     new = journal()
-    assert old.process_beside() and new.process_beside()
+    assert old.has_concurrent_process() and new.has_concurrent_process()
     new.close()
-    assert not old.process_beside()
+    assert not old.has_concurrent_process()
     old.close()
 
 
@@ -177,7 +186,7 @@
         relay.hand_in("first", "again")
         until(lambda: "host-state peer=shut state=ejected" in relay.log())
         assert "outcome=unconnected finished=False wait_ms=0 state=" in relay.log()
-        until((tmp_path / "state" / FILE).exists)
+        until((tmp_path / "state" / FILE_NAME).exists)
         relay.end(end)
         relay.start()
         until(lambda: "host-state peer=shut state=ejected cause='known before'" in relay.log())
@@ -185,7 +194,7 @@
         relay.end()
 
 
-def test_a_refusal_that_only_the_journal_holds_makes_its_host_cold(tmp_path):
+def test_a_refusal_that_only_the_journal_holds_ejects_its_host(tmp_path):
     platform = Platform(hosts=1)
     platform.decide = lambda call: reply(503)
     relay = Program(platform, tmp_path)
@@ -193,7 +202,7 @@
         relay.hand_in("first", "again")
         until(lambda: "outcome=full" in relay.log())
         relay.end()
-        (tmp_path / "state" / FILE).unlink(missing_ok=True)  # as if the folder had not taken it
+        (tmp_path / "state" / FILE_NAME).unlink(missing_ok=True)  # as if the folder had not taken the write
         relay.start()
         until(lambda: "state=ejected cause='known before'" in relay.log())
     finally:
--- a/tests/net/test_descriptors.py
+++ b/tests/net/test_descriptors.py
@@ -13,9 +13,9 @@
 
 from millweir.control import bounds
 from millweir.interface import SECOND, Limits
-from millweir.net.config import read_descriptors
-from millweir.net.control import LINKS_MOST
-from millweir.net.journal import FILE, Journal, OwedMessage
+from millweir.net.config import limit_descriptors
+from millweir.net.control import MAX_CONTROL_CONNECTIONS
+from millweir.net.journal import FILE_NAME, Journal, OwedMessage
 from net.inside import request, run_with_relay
 
 # 17 on a running relay: loop, signals, standard streams, listeners, lock, journal and its reserve.  4 while
@@ -44,14 +44,14 @@
         given.max_client_connections + given.max_client_connections // 4,
         given.max_host_connections,
     )
-    assert clients + hosts + LINKS_MOST + RESERVED_DESCRIPTORS <= descriptors
+    assert clients + hosts + MAX_CONTROL_CONNECTIONS + RESERVED_DESCRIPTORS <= descriptors
 
 
 def test_the_system_limit_applies_where_it_is_lower_than_the_configured_one():
     before = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (200, before[1]))
     try:
-        assert read_descriptors(1024) == 200 and read_descriptors(150) == 150
+        assert limit_descriptors(1024) == 200 and limit_descriptors(150) == 150
     finally:
         resource.setrlimit(resource.RLIMIT_NOFILE, before)
 
@@ -60,20 +60,20 @@
 def test_the_journal_is_compacted_even_when_all_other_descriptors_are_taken(tmp_path, start):
     journal = Journal(tmp_path, 2000, 1500, print)
     if start == "resumed":  # an earlier process's file is continued
-        journal.taken(OwedMessage(b"first", b"again", b"", b"", b"", 0, 1, b"x" * 100))
+        journal.record_accepted(OwedMessage(b"first", b"again", b"", b"", b"", 0, 1, b"x" * 100))
         journal.close()
-        file = (tmp_path / FILE).stat().st_ino
+        file = (tmp_path / FILE_NAME).stat().st_ino
         journal = Journal(tmp_path, 2000, 1500, print)
-        assert (tmp_path / FILE).stat().st_ino == file
-        journal.over(journal.owed[1])
+        assert (tmp_path / FILE_NAME).stat().st_ino == file
+        journal.record_ended(journal.owed[1])
     with exhaust_descriptors():
         with pytest.raises(OSError, match="Too many open files"):
             os.open(os.devnull, os.O_RDONLY)
         for n in range(40):  # fills the file several times
             message = OwedMessage(b"r%d" % n, b"again", b"", b"", b"", 0, 1, b"x" * 100)
-            journal.taken(message)
+            journal.record_accepted(message)
             if n != 7:
-                journal.over(message)
+                journal.record_ended(message)
     journal.close()
     again = Journal(tmp_path, 2000, 1500, print)
     assert [message.id for message in again.owed.values()] == [b"r7"]
@@ -89,8 +89,8 @@
         (client,) = await relay.connect_clients()
         for group in range(4):
             client.send(request(f"first{group}", dest=group))
-        await relay.until(lambda: len(platform.calls) == 4 and not relay.desk._owed)
-        hosts = relay.desk._hosts
+        await relay.until(lambda: len(platform.calls) == 4 and not relay.server._owed)
+        hosts = relay.server._hosts
         idle = list(hosts._idle)  # longest idle first
         gone = int(hosts._idle[idle[0]].name.removeprefix("g"))
         assert len(idle) == 4
@@ -102,7 +102,7 @@
         await relay.until(lambda: len(platform.calls) == 8)
         assert list(hosts._idle) == idle[2:]  # idle connections keep half of the limit
         client.send(request("last", dest=gone))
-        await relay.until(lambda: len(platform.calls) == 9 and b"last" not in relay.desk._owed)
+        await relay.until(lambda: len(platform.calls) == 9 and b"last" not in relay.server._owed)
         assert len(hosts._idle) == 2  # the end of a call does not add to them
 
     run_with_relay(platform, tmp_path, monkeypatch, steps, max_host_connections=4)
@@ -110,7 +110,7 @@
 
 def test_a_burst_of_connections_holds_no_more_descriptors_than_the_listener_allows(tmp_path, monkeypatch):
     async def steps(relay):
-        listener, used = relay.desk.clients, set()
+        listener, used = relay.server.clients, set()
         add_connection = listener.add_connection
 
         def record_descriptor(connection):
@@ -121,8 +121,8 @@
         monkeypatch.setattr(listener, "add_connection", record_descriptor)
         for _ in range(120):  # all connect before the loop runs on
             relay.client()
-        before = relay.desk._counters.counts["clients_opened"]
-        await relay.until(lambda: relay.desk._counters.counts["clients_opened"] >= before + 120)
+        before = relay.server._counters.counts["clients_opened"]
+        await relay.until(lambda: relay.server._counters.counts["clients_opened"] >= before + 120)
         assert len(used) <= 8 + 8 // 4 + 3  # 3 are closed one loop iteration after their end
 
     run_with_relay(
@@ -185,7 +185,7 @@
         until(lambda: platform.sent("amid"))
         crowd += open_idle_connections(program.port, 300)
         # There are no idle connections to hosts and no control connections.
-        assert count_descriptors(program) <= 256 - 64 - LINKS_MOST
+        assert count_descriptors(program) <= 256 - 64 - MAX_CONTROL_CONNECTIONS
         before = count_received_lists(program)
         platform.add("h0", status="DRAINING")
         platform.silent = False
