--- a/millweir/lab/baselines.py
+++ b/millweir/lab/baselines.py
@@ -7,37 +7,39 @@
 from collections import deque
 from collections.abc import Iterable
 
-from millweir.members.core import MILLISECOND, Change, Core, Degree, Member, Port, Probe, Rules
-from millweir.members.messages import Claim, Datagram, Kind, Rank, Told, Whole
+from millweir.members.core import MILLISECOND, Change, Core, Member, MemberStatus, Port, Probe, Rules
+from millweir.members.messages import Datagram, FullState, Kind, MemberRecord, ReceivedDatagram, ReportedState
 
 
 class PlainSwim(Core):
     """SWIM with suspicion alone: one fixed time, no word of one's own lateness, gone is believed at once."""
 
-    def in_doubt(self, now: int) -> str:
+    def diagnose_local_health(self, now: int) -> str:
         return ""
 
-    def _wake(self, now: int) -> None:
-        self._due = max(self._due, now)
+    def _check_lateness(self, now: int) -> None:
+        self._timer_at = max(self._timer_at, now)
 
-    def _failed(self, now: int, probe: Probe) -> None:
+    def _handle_probe_failure(self, now: int, probe: Probe) -> None:
         if probe.target.active:
-            claim = probe.target.claim
-            self._claimed(now, claim.ranked(max(Rank.SUSPECTED, claim.rank), self.me.name))
+            claim = probe.target.record
+            self._apply_record(now, claim.with_state(max(ReportedState.SUSPECTED, claim.state), self.me.name))
 
-    def _rise(self, now: int, incarnation: int, because: Claim | None = None) -> None:
-        super()._rise(now, incarnation, because)
-        self._slow = 0
+    def _raise_incarnation(self, now: int, incarnation: int, because: MemberRecord | None = None) -> None:
+        super()._raise_incarnation(now, incarnation, because)
+        self._awareness = 0
 
-    def _found_too(self, now: int, member: Member, claim: Claim) -> None:
+    def _confirm_suspicion(self, now: int, member: Member, claim: MemberRecord) -> None:
         pass
 
-    def _set_verdict(self, member: Member) -> None:
-        member.verdict_at = member.suspected_at + self.rules.least(len(self._ring) + 1)
+    def _set_suspicion_expiry(self, member: Member) -> None:
+        member.suspicion_expires_at = member.suspected_at + self.rules.min_suspicion_time(
+            len(self._active_members) + 1
+        )
 
-    def _suspect(self, now: int, member: Member, claim: Claim, newer: bool) -> None:
-        if claim.rank is Rank.GONE:
-            self._hold(now, member, claim, Degree.GONE)
+    def _suspect(self, now: int, member: Member, claim: MemberRecord, newer: bool) -> None:
+        if claim.state is ReportedState.GONE:
+            self._set_record(now, member, claim, MemberStatus.GONE)
         else:
             super()._suspect(now, member, claim, newer)
 
@@ -51,52 +53,56 @@
         rules: Rules,
         chance: random.Random,
         now: int,
-        me: Claim,
+        me: MemberRecord,
         contacts: Iterable[tuple[str, int]] = (),
     ) -> None:
         self._port, self.rules, self._chance = port, rules, chance
         self.me = me
         self.members: dict[str, Member] = {}
         self._next = now + round(chance.uniform(0.5, 1.5) * rules.interval)
-        self.silence = rules.least(10)
+        self.silence = rules.min_suspicion_time(10)
 
-    def introduce(self, now: int, claim: Claim) -> None:
+    def add_known_member(self, now: int, claim: MemberRecord) -> None:
         member = self.members[claim.name] = Member(claim, now)
-        member.heard_at = now
+        member.last_received_at = now
 
-    def settle(self, now: int, contacts: Iterable[tuple[str, int]]) -> None:
-        self._port.wake(self._next)
+    def finish_bootstrap(self, now: int, contacts: Iterable[tuple[str, int]]) -> None:
+        self._port.set_timer(self._next)
 
-    def heard(self, now: int, told: Told) -> None:
-        member = self.members.get(told.me.name)
+    def receive_datagram(self, now: int, told: ReceivedDatagram) -> None:
+        member = self.members.get(told.sender.name)
         if member is None:
             return
         self._beat(now, member)
-        if member.degree is Degree.GONE:
-            member.degree = Degree.ALIVE
-            self._port.changed(Change(now, told.me.name, Degree.GONE, Degree.ALIVE, told.me.name, 1))
+        if member.status is MemberStatus.GONE:
+            member.status = MemberStatus.ALIVE
+            self._port.notify_status_change(
+                Change(now, told.sender.name, MemberStatus.GONE, MemberStatus.ALIVE, told.sender.name, 1)
+            )
 
     def _beat(self, now: int, member: Member) -> None:
-        member.heard_at = now
+        member.last_received_at = now
 
     def _silent(self, now: int, member: Member) -> bool:
-        return now - member.heard_at > self.silence
+        return now - member.last_received_at > self.silence
 
     def time_passed(self, now: int) -> None:
         if now >= self._next:
             self._next = now + self.rules.interval
-            datagram = Datagram(Kind.NEWS, 0, self.me)
+            datagram = Datagram(Kind.GOSSIP, 0, self.me)
             for name, member in self.members.items():
-                self._port.send(member.claim.address, 1, datagram)
-                if member.degree is Degree.ALIVE and self._silent(now, member):
-                    member.degree = Degree.GONE
-                    self._port.changed(Change(now, name, Degree.ALIVE, Degree.GONE, self.me.name, 1))
-        self._port.wake(self._next)
-
-    def whole(self, high: int = 1) -> Whole:
-        return Whole(self.me, ())
-
-    def whole_told(self, now: int, whole: Whole) -> None:
+                self._port.send(member.record.address, 1, datagram)
+                if member.status is MemberStatus.ALIVE and self._silent(now, member):
+                    member.status = MemberStatus.GONE
+                    self._port.notify_status_change(
+                        Change(now, name, MemberStatus.ALIVE, MemberStatus.GONE, self.me.name, 1)
+                    )
+        self._port.set_timer(self._next)
+
+    def build_full_state(self, high: int = 1) -> FullState:
+        return FullState(self.me, ())
+
+    def receive_full_state(self, now: int, whole: FullState) -> None:
         pass
 
 
@@ -111,17 +117,17 @@
         self._past: dict[str, deque[int]] = {}
 
     def _beat(self, now: int, member: Member) -> None:
-        past = self._past.setdefault(member.claim.name, deque(maxlen=100))
-        past.append(now - member.heard_at)
-        member.heard_at = now
+        past = self._past.setdefault(member.record.name, deque(maxlen=100))
+        past.append(now - member.last_received_at)
+        member.last_received_at = now
 
     def _silent(self, now: int, member: Member) -> bool:
-        past = self._past.get(member.claim.name)
+        past = self._past.get(member.record.name)
         if not past or len(past) < 3:
-            return now - member.heard_at > self.silence
+            return now - member.last_received_at > self.silence
         mean = sum(past) / len(past)
         deviation = max(math.sqrt(sum((one - mean) ** 2 for one in past) / len(past)), self.LEAST_DEVIATION)
-        tail = 0.5 * math.erfc((now - member.heard_at - mean) / deviation / math.sqrt(2))
+        tail = 0.5 * math.erfc((now - member.last_received_at - mean) / deviation / math.sqrt(2))
         return tail < 10**-self.THRESHOLD
 
 
--- a/millweir/lab/detect.py
+++ b/millweir/lab/detect.py
@@ -14,7 +14,7 @@
 
 from millweir.lab.baselines import WAYS
 from millweir.lab.fleet import Fleet, Node
-from millweir.members.core import SECOND, Change, Degree, Rules
+from millweir.members.core import SECOND, Change, MemberStatus, Rules
 
 TROUBLES = ("calm", "pauses", "loss")
 SETTLED = 5  # seconds before anything counts
@@ -84,13 +84,13 @@
 
     def watch(node: Node, change: Change) -> None:
         if change.name in died:
-            if change.after is Degree.GONE:
+            if change.after is MemberStatus.GONE:
                 seen[change.name].setdefault(node.name, fleet.now)
-        elif change.after is Degree.SUSPECTED and change.by == node.name:
+        elif change.after is MemberStatus.SUSPECTED and change.reporter == node.name:
             counts["accusations"] += 1
-        elif change.after is Degree.GONE:
+        elif change.after is MemberStatus.GONE:
             counts["deaths"] += 1
-            counts["verdicts"] += change.by == node.name
+            counts["verdicts"] += change.reporter == node.name
 
     fleet.watch = watch
     end = fleet.now + seconds * SECOND
@@ -125,7 +125,7 @@
         size,
         trouble,
         seed,
-        fleet.rules.suspicion,
+        fleet.rules.suspicion_multiplier,
         seconds,
         round(sent[0], 3),
         round(sent[1], 1),
@@ -183,7 +183,7 @@
     ]
     with ProcessPoolExecutor(workers) as pool, open(out, "ab") as target:
         jobs = [
-            pool.submit(measure, way, size, trouble, seed, seconds, 3, Rules(suspicion=suspicion))
+            pool.submit(measure, way, size, trouble, seed, seconds, 3, Rules(suspicion_multiplier=suspicion))
             for way, size, trouble, seed, suspicion in wanted
             if (way, size, trouble, seed, suspicion) not in done
         ]
--- a/millweir/lab/fleet.py
+++ b/millweir/lab/fleet.py
@@ -9,8 +9,16 @@
 import random
 from collections.abc import Callable, Iterable
 
-from millweir.members.core import SECOND, Address, Change, Core, Degree, Rules
-from millweir.members.messages import Claim, Datagram, Rank, Told, Whole, encode, read_datagram
+from millweir.members.core import SECOND, Address, Change, Core, MemberStatus, Rules
+from millweir.members.messages import (
+    Datagram,
+    FullState,
+    MemberRecord,
+    ReceivedDatagram,
+    ReportedState,
+    decode_datagram,
+    encode,
+)
 from millweir.members.seal import HEAD
 
 OVERHEAD = HEAD.size + 28  # bytes of the seal, and of the headers below it
@@ -41,26 +49,26 @@
         self.counts["bytes"] += size
         self.fleet.carry(self, to, datagram)
 
-    def ask_whole(self, to: Address) -> None:
+    def request_full_state(self, to: Address) -> None:
         other = self.fleet.at.get(to)
         if other and not (self.fleet.cut(self.name, other.name) or self.fleet.cut(other.name, self.name)):
             self.counts["wholes"] += 1
-            mine = self.core.whole(1)
+            mine = self.core.build_full_state(1)
             self.counts["bytes"] += len(encode(mine)) + 6 * 40
             self.fleet.later(self.fleet.delay() * 3, other.whole_asked, self, mine)
 
-    def wake(self, at: int) -> None:
+    def set_timer(self, at: int) -> None:
         self.due = at
         after = at - self.fleet.now
         self.fleet.later(after - self.early if after > self.early else after, self.woken, at)
 
-    def changed(self, change: Change) -> None:
+    def notify_status_change(self, change: Change) -> None:
         self.fleet.watch(self, change)
 
-    def keep(self, incarnation: int) -> None:
+    def save_incarnation(self, incarnation: int) -> None:
         self.kept = incarnation
 
-    def say(self, event: str, **fields: object) -> None:
+    def log_event(self, event: str, **fields: object) -> None:
         said = self.counts["said"]
         said[event] = said.get(event, 0) + 1
 
@@ -70,26 +78,26 @@
         if at == self.due and not self.dead and not self.paused:
             self.core.time_passed(self.fleet.now)
 
-    def get(self, told: Told) -> None:
+    def get(self, told: ReceivedDatagram) -> None:
         if self.dead:
             return
         if self.paused:
             if len(self.inbox) < 1000:  # a socket's buffer
                 self.inbox.append(told)
             return
-        self.core.heard(self.fleet.now, told)
+        self.core.receive_datagram(self.fleet.now, told)
 
-    def whole_asked(self, asker: Node, whole: Whole) -> None:
+    def whole_asked(self, asker: Node, whole: FullState) -> None:
         if self.dead or self.paused:
             return
-        answer = self.core.whole(whole.me.high)
+        answer = self.core.build_full_state(whole.sender.max_version)
         self.counts["bytes"] += len(encode(answer))
-        self.core.whole_told(self.fleet.now, whole)
+        self.core.receive_full_state(self.fleet.now, whole)
         self.fleet.later(self.fleet.delay(), asker.whole_answered, answer)
 
-    def whole_answered(self, whole: Whole) -> None:
+    def whole_answered(self, whole: FullState) -> None:
         if not self.dead and not self.paused:
-            self.core.whole_told(self.fleet.now, whole)
+            self.core.receive_full_state(self.fleet.now, whole)
 
     def pause(self) -> None:
         self.paused = True
@@ -104,7 +112,7 @@
             self.core.time_passed(now)
         inbox, self.inbox = self.inbox, []
         for told in inbox:
-            self.core.heard(now, told)
+            self.core.receive_datagram(now, told)
 
     def kill(self) -> None:
         self.dead = True
@@ -143,17 +151,17 @@
             for node in self.nodes:
                 for other in self.nodes:
                     if other is not node:
-                        node.core.introduce(0, other.core.me)
-                node.core.settle(0, seeds)
+                        node.core.add_known_member(0, other.core.me)
+                node.core.finish_bootstrap(0, seeds)
 
     def address(self, node: Node) -> Address:
         number = int(node.name[1:])
         return f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}", PORT
 
-    def claim(self, node: Node, incarnation: int) -> Claim:
+    def claim(self, node: Node, incarnation: int) -> MemberRecord:
         host, port = self.address(node)
         birth = self.chance.getrandbits(62)
-        return Claim(node.name, birth, incarnation, Rank.ALIVE, host, port, node.name, 1, 2)
+        return MemberRecord(node.name, birth, incarnation, ReportedState.ALIVE, host, port, node.name, 1, 2)
 
     def start(self, node: Node, kept: int = 0, contacts: Iterable[Address] | None = None) -> None:
         """A new process of it; `kept`: the incarnation that its folder holds."""
@@ -182,7 +190,7 @@
         self.later(self.delay(), self._deliver, other, datagram)
 
     def _deliver(self, other: Node, datagram: Datagram) -> None:
-        other.get(read_datagram(encode(datagram)))
+        other.get(decode_datagram(encode(datagram)))
 
     def later(self, after: int, what: Callable[..., None], *args: object) -> None:
         self._number += 1
@@ -205,7 +213,7 @@
         """Every living member holds exactly the living for there."""
         names = {node.name for node in self.living}
         return all(
-            {m.claim.name for m in node.core.members.values() if m.degree is Degree.ALIVE}
+            {m.record.name for m in node.core.members.values() if m.status is MemberStatus.ALIVE}
             == names - {node.name}
             for node in self.living
         )
--- a/millweir/lab/plots.py
+++ b/millweir/lab/plots.py
@@ -18,7 +18,7 @@
     """By fleet size: time to detect, false deaths, bytes; a line a way and trouble."""
     groups: dict[tuple[str, str], dict[int, list[Row]]] = defaultdict(lambda: defaultdict(list))
     for row in read_rows(rows_file):
-        if row.suspicion == Rules().suspicion:
+        if row.suspicion == Rules().suspicion_multiplier:
             groups[row.way, row.trouble][row.size].append(row)
     figure, axes = plt.subplots(1, 3, figsize=(15, 4.5))
     fields = (
--- a/millweir/lab/scale/membership.py
+++ b/millweir/lab/scale/membership.py
@@ -244,15 +244,15 @@
 def _figures_of_one_member(size: int) -> Iterator[Figure]:
     """What one member holds and tells whole, in a fleet of that size."""
     tracemalloc.start()
-    core = Core(SilentPort(), Rules(members_most=max(4096, 2 * size)), random.Random(1), 0, claim_of(0))
+    core = Core(SilentPort(), Rules(max_members=max(4096, 2 * size)), random.Random(1), 0, claim_of(0))
     before, _ = tracemalloc.get_traced_memory()
     for number in range(1, size):
-        core.introduce(0, claim_of(number))
-    core.settle(0, ())
+        core.add_known_member(0, claim_of(number))
+    core.finish_bootstrap(0, ())
     after, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     yield _single(size, "calm", "memory-table-unshared", "B", float(after - before))
-    yield _single(size, "calm", "full-state-bytes", "B", float(len(encode(core.whole()))))
+    yield _single(size, "calm", "full-state-bytes", "B", float(len(encode(core.build_full_state()))))
 
 
 def _simulated(size: int, seed: int) -> Iterator[Figure]:
--- a/millweir/lab/scale/membership_hollow.py
+++ b/millweir/lab/scale/membership_hollow.py
@@ -42,10 +42,18 @@
     name_of,
     region_of,
 )
-from millweir.members.core import Address, Change, Core, Degree, Rules
-from millweir.members.links import Links
-from millweir.members.messages import VERSIONS, Claim, Datagram, Rank, Told, Whole, mark
-from millweir.members.seal import Seal
+from millweir.members.core import Address, Change, Core, MemberStatus, Rules
+from millweir.members.links import MemberTransport
+from millweir.members.messages import (
+    PROTOCOL_VERSIONS,
+    Datagram,
+    FullState,
+    MemberRecord,
+    ReceivedDatagram,
+    ReportedState,
+    mark,
+)
+from millweir.members.seal import Authenticator
 
 CLUSTER = "scale"
 KEY = b"a key as a fleet would have one"
@@ -61,10 +69,12 @@
 spent = time.thread_time_ns
 
 
-class MeteredLinks(Links):
+class MeteredLinks(MemberTransport):
     """The relay's links; the processor time that each call takes goes to its member's meter."""
 
-    def __init__(self, member: HollowMember, seal: Seal, via: dict[Address, Address], members_most: int):
+    def __init__(
+        self, member: HollowMember, seal: Authenticator, via: dict[Address, Address], members_most: int
+    ):
         super().__init__(
             seal,
             via,
@@ -82,15 +92,15 @@
         super().datagram_received(data, addr)
         self._member.processor += spent() - began
 
-    def _encode_whole(self, high: int) -> bytes:
+    def _encode_full_state(self, high: int) -> bytes:
         began = spent()
-        raw = super()._encode_whole(high)
+        raw = super()._encode_full_state(high)
         self._member.processor += spent() - began
         return raw
 
-    def _decode_whole(self, raw: bytes) -> Whole:
+    def _decode_full_state(self, raw: bytes) -> FullState:
         began = spent()
-        whole = super()._decode_whole(raw)
+        whole = super()._decode_full_state(raw)
         self._member.processor += spent() - began
         return whole
 
@@ -109,14 +119,14 @@
 
     async def open(self) -> None:
         """Bind the sockets; OSError where the address is taken."""
-        seal = Seal(CLUSTER, (KEY,), self.claim.birth, VERSIONS)
+        seal = Authenticator(CLUSTER, (KEY,), self.claim.run_id, PROTOCOL_VERSIONS)
         via = self.process.way_of(self.number)
-        self.links = MeteredLinks(self, seal, via, self.process.rules.members_most)
+        self.links = MeteredLinks(self, seal, via, self.process.rules.max_members)
         await self.links.open(self.claim.address)
 
     def start(self, at: int, contacts: list[Address]) -> None:
         """Begin at a time, now or to come."""
-        chance = random.Random(f"{self.process.plan.seed} {self.number} {self.claim.birth}")
+        chance = random.Random(f"{self.process.plan.seed} {self.number} {self.claim.run_id}")
         self.core = Core(self, self.process.rules, chance, at, self.claim, contacts)
 
     def end(self) -> None:
@@ -136,22 +146,22 @@
     def send(self, to: Address, version: int, datagram: Datagram) -> None:
         self.links.send(to, version, datagram)
 
-    def ask_whole(self, to: Address) -> None:
-        self.links.ask_whole(to)
+    def request_full_state(self, to: Address) -> None:
+        self.links.request_full_state(to)
 
-    def wake(self, at: int) -> None:
+    def set_timer(self, at: int) -> None:
         if self._timer:
             self._timer.cancel()
         loop = self.process.loop
         self._timer = loop.call_later(max(at - now(), 0) / 1e9, self._woken)
 
-    def changed(self, change: Change) -> None:
-        self.process.changed(self, change)
+    def notify_status_change(self, change: Change) -> None:
+        self.process.notify_status_change(self, change)
 
-    def keep(self, incarnation: int) -> None:
+    def save_incarnation(self, incarnation: int) -> None:
         self.kept = incarnation
 
-    def say(self, event: str, **fields: object) -> None:
+    def log_event(self, event: str, **fields: object) -> None:
         self.process.counts[event] += 1
 
     # What the timer and the links tell.
@@ -162,20 +172,20 @@
         self.core.time_passed(now())
         self.processor += spent() - began
 
-    def heard(self, told: Told) -> None:
+    def heard(self, told: ReceivedDatagram) -> None:
         if self.core:
-            self.core.heard(now(), told)
+            self.core.receive_datagram(now(), told)
 
-    def whole_told(self, whole: Whole) -> None:
+    def whole_told(self, whole: FullState) -> None:
         if self.core:
             began = spent()
-            self.core.whole_told(now(), whole)
+            self.core.receive_full_state(now(), whole)
             self.processor += spent() - began
 
-    def whole(self, high: int) -> Whole:
+    def whole(self, high: int) -> FullState:
         if not self.core:
             raise OSError("this member has ended")
-        return self.core.whole(high)
+        return self.core.build_full_state(high)
 
     def refused(self, reason: str, peer: str) -> None:
         self.process.counts[f"refused-{reason}"] += 1
@@ -199,7 +209,7 @@
     def __init__(self, plan: Plan) -> None:
         self.plan = plan
         self.loop = asyncio.get_running_loop()
-        self.rules = Rules(members_most=max(4096, 2 * plan.size))
+        self.rules = Rules(max_members=max(4096, 2 * plan.size))
         self.members: dict[int, HollowMember] = {}
         self.counts: Counter[str] = Counter()
         self.dead: set[str] = set()
@@ -213,11 +223,13 @@
 
     # Making the members.
 
-    def claim_of(self, number: int, kept: int) -> Claim:
+    def claim_of(self, number: int, kept: int) -> MemberRecord:
         """What a new process of a member says of itself; its first birth is known to all processes."""
         host, port = address_of(number, self.plan.port)
         birth = number + 1 if not kept else self._births.getrandbits(62) | 1 << 61
-        return Claim(name_of(number), birth, kept, Rank.ALIVE, host, port, name_of(number), *VERSIONS)
+        return MemberRecord(
+            name_of(number), birth, kept, ReportedState.ALIVE, host, port, name_of(number), *PROTOCOL_VERSIONS
+        )
 
     def way_of(self, number: int) -> dict[Address, Address]:
         return self._inside if region_of(number) == CUT_REGION else self._outside
@@ -238,8 +250,8 @@
             member.start(at, [])
             for claim in claims:
                 if claim.name != member.name:
-                    member.core.introduce(at, claim)
-            member.core.settle(at, self.seeds())
+                    member.core.add_known_member(at, claim)
+            member.core.finish_bootstrap(at, self.seeds())
         gc.collect()
         gc.freeze()
         resident = resident_memory(os.getpid())
@@ -306,15 +318,15 @@
 
     # What is counted.
 
-    def changed(self, member: HollowMember, change: Change) -> None:
+    def notify_status_change(self, member: HollowMember, change: Change) -> None:
         """A death is false where the member lives and nothing cuts it off from the one that says so."""
-        if change.after not in (Degree.GONE, Degree.SUSPECTED) or change.name in self.dead:
+        if change.after not in (MemberStatus.GONE, MemberStatus.SUSPECTED) or change.name in self.dead:
             return
         other = int(change.name[1:])
         apart = (region_of(other) == CUT_REGION) != (region_of(member.number) == CUT_REGION)
         if self.is_cut and apart:
             return
-        self.counts["false-deaths" if change.after is Degree.GONE else "false-suspicions"] += 1
+        self.counts["false-deaths" if change.after is MemberStatus.GONE else "false-suspicions"] += 1
 
     def _meters(self) -> dict[int, tuple[int, int]]:
         return {
@@ -362,7 +374,7 @@
         for member in self.members.values():
             me = member.core.me
             digests.add(member.core.digest)
-            truth ^= mark(me.name, me.incarnation, me.birth)
+            truth ^= mark(me.name, me.incarnation, me.run_id)
         return View(now(), tuple(sorted(digests)[:DIGESTS_TOLD]), truth)
 
     async def tell_views(self) -> None:
--- a/millweir/lab/scale/membership_simulated.py
+++ b/millweir/lab/scale/membership_simulated.py
@@ -21,7 +21,7 @@
     zone_members,
 )
 from millweir.lab.scale.membership_steps import settled_fleet
-from millweir.members.core import SECOND, Change, Degree
+from millweir.members.core import SECOND, Change, MemberStatus
 from millweir.members.messages import mark
 
 LOOK_EVERY = SECOND // 4
@@ -78,9 +78,9 @@
         other = fleet.nodes[int(change.name[1:])]
         if other.dead or fleet.cut(node.name, other.name):
             return
-        if change.after is Degree.GONE:
+        if change.after is MemberStatus.GONE:
             course.counts["false-deaths"] += 1
-        elif change.after is Degree.SUSPECTED:
+        elif change.after is MemberStatus.SUSPECTED:
             course.counts["false-suspicions"] += 1
 
     fleet.watch = watch
@@ -101,5 +101,5 @@
 def _agreed(living: list[Node]) -> bool:
     """Every living member holds exactly the living for there."""
     lives = (node.core.me for node in living)
-    truth = reduce(xor, (mark(me.name, me.incarnation, me.birth) for me in lives))
+    truth = reduce(xor, (mark(me.name, me.incarnation, me.run_id) for me in lives))
     return all(node.core.digest == truth for node in living)
--- a/millweir/lab/scale/membership_steps.py
+++ b/millweir/lab/scale/membership_steps.py
@@ -18,7 +18,7 @@
 import millweir.members
 from millweir.lab.fleet import Fleet
 from millweir.members.core import SECOND, Core, Port, Rules
-from millweir.members.messages import VERSIONS, Claim, Rank
+from millweir.members.messages import PROTOCOL_VERSIONS, MemberRecord, ReportedState
 
 COUNTED = (str(Path(millweir.members.__file__).parent), random.__file__)
 PORT = 7946
@@ -66,7 +66,7 @@
 
 def settled_fleet(size: int, seed: int, make: Callable[..., Core] = Core) -> Fleet:
     """A simulated fleet whose members all know each other, some seconds after its start."""
-    fleet = Fleet(size, seed, Rules(members_most=max(size, 64)), make=make)
+    fleet = Fleet(size, seed, Rules(max_members=max(size, 64)), make=make)
     fleet.run(SETTLING * SECOND)
     return fleet
 
@@ -75,26 +75,26 @@
     """A core's port to nowhere."""
 
     def send(self, *given: object) -> None: ...
-    def ask_whole(self, *given: object) -> None: ...
-    def wake(self, *given: object) -> None: ...
-    def changed(self, *given: object) -> None: ...
-    def keep(self, *given: object) -> None: ...
-    def say(self, *given: object, **fields: object) -> None: ...
+    def request_full_state(self, *given: object) -> None: ...
+    def set_timer(self, *given: object) -> None: ...
+    def notify_status_change(self, *given: object) -> None: ...
+    def save_incarnation(self, *given: object) -> None: ...
+    def log_event(self, *given: object, **fields: object) -> None: ...
 
 
-def claim_of(number: int) -> Claim:
+def claim_of(number: int) -> MemberRecord:
     """What the member of that number says of itself."""
     host, name = f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}", f"m{number}"
-    return Claim(name, number + 1, 1, Rank.ALIVE, host, PORT, name, *VERSIONS)
+    return MemberRecord(name, number + 1, 1, ReportedState.ALIVE, host, PORT, name, *PROTOCOL_VERSIONS)
 
 
 def lone_core(size: int, seed: int, port: Port | None = None) -> Core:
     """Member 0 of a fleet, at time 0, that knows all others."""
-    rules = Rules(members_most=max(4096, 2 * size))
+    rules = Rules(max_members=max(4096, 2 * size))
     core = Core(port or SilentPort(), rules, random.Random(seed), 0, claim_of(0))
     for number in range(1, size):
-        core.introduce(0, claim_of(number))
-    core.settle(0, [claim_of(number).address for number in range(2)])
+        core.add_known_member(0, claim_of(number))
+    core.finish_bootstrap(0, [claim_of(number).address for number in range(2)])
     return core
 
 
--- a/millweir/members/__init__.py
+++ b/millweir/members/__init__.py
@@ -1,1 +1,1 @@
-"""Who is there among the relays: failure detection, gossip, views (docs/design/members.md)."""
+"""Membership of the relays: failure detection, gossip and local views (docs/design/members.md)."""
--- a/millweir/members/core.py
+++ b/millweir/members/core.py
@@ -1,24 +1,27 @@
-"""Who is there: the deciding core.  No I/O, no clock, no chance of its own; whole nanoseconds.
-
-Theory of operation.  Each member probes one other an interval, in an order shuffled anew each round, so
-that everybody is probed within a bound.  A probe is a ping; where no answer comes in time, a second one,
-and a few helpers are asked to ping for us.  Where all that fails the member is *suspected*, which is told
-on; a suspicion that nobody refutes becomes *gone* after a time that shrinks as more members find the same
-(SWIM; Lifeguard).  The suspect refutes with a higher *incarnation*, a number which only the member itself
-raises.  What is told is a *claim*; claims on one name are ordered by (incarnation, rank, birth) and the
-greatest holds, whatever order they come in (`Claim.key`).
-
-Three guards keep this right under pauses and cuts:
-
-- who wakes late has been paused: no probe of that time counts, and no suspicion runs out before what came
-  meanwhile is read and others have had time to say more;
-- whose last probes of several members all failed is in doubt of itself, not of them: it accuses nobody and
-  holds its verdicts back, up to a bound;
-- that somebody is gone, told of one who was well a moment ago, is a suspicion first: sides of a healed cut
-  don't bury each other.
-
-The caller tells what happened by one method for each thing, with the time; the core acts through `Port`.
-The view is a hint with degrees, never a right (docs/design/members.md).
+"""Membership core: SWIM failure detection and gossip, with Lifeguard's local health checks.
+
+The core does no I/O and reads neither clock nor entropy: the caller passes the time, in nanoseconds, and a
+random generator.  The caller reports each kind of event by its own method; the core acts through `Port`.
+
+Theory of operation.  Each member probes one other member per interval, in an order that is reshuffled each
+round, so that every member is probed within a bounded time.  A probe is a ping.  If no ack arrives in time,
+the member sends a second ping and asks a few others to ping the target for it (ping-req).  If all of these
+fail the target is *suspected*, and the suspicion is gossiped.  A suspicion that nobody refutes turns into
+*gone* after a timeout that shrinks as more members confirm the suspicion (SWIM; Lifeguard).  The suspect
+refutes it with a higher *incarnation*, a number that only the member itself raises.  Gossip carries *member
+records*.  Records of one name are ordered by (incarnation, state, process run), and the greatest wins in
+whatever order they arrive (`MemberRecord.precedence`).
+
+Three rules keep the views correct through process pauses and network partitions:
+
+- A member whose timer fires late has been paused: a probe of that time does not count, and no suspicion
+  expires before the datagrams received meanwhile are read and others have had time to send more.
+- A member whose last probes of several members all failed suspects its own connection rather than the
+  others: it accuses nobody and withholds its failure verdicts, up to a time limit.
+- A report that a member which was alive a moment ago is gone starts only a suspicion, so that the two sides
+  of a healed partition do not remove each other's members.
+
+The view is a hint with several degrees of certainty; it never grants a right (docs/design/members.md).
 """
 
 from __future__ import annotations
@@ -31,26 +34,26 @@
 
 import msgspec
 
-from millweir.members.gossip import ByteBudget, Gossip, Load
+from millweir.members.gossip import ByteBudget, GossipPayload, GossipQueue
 from millweir.members.messages import (
-    CUTS_SINCE,
-    Claim,
-    Cut,
+    PATH_REPORTS_MIN_VERSION,
     Datagram,
+    FullState,
     Kind,
-    Rank,
-    Told,
-    Whole,
+    MemberRecord,
+    PathReport,
+    ReceivedDatagram,
+    ReportedState,
     encode,
     mark,
 )
-from millweir.members.paths import Paths, key_of
+from millweir.members.paths import PathTable, path_key
 from millweir.members.port import Port
-from millweir.members.probing import Probe, Relay
+from millweir.members.probing import IndirectProbe, Probe
 from millweir.members.rules import MILLISECOND, NEVER, SECOND, Address, Rules
-from millweir.members.suspicion import VerdictTimers
-from millweir.members.table import Table
-from millweir.members.view import Change, Degree, Member, Standing
+from millweir.members.suspicion import SuspicionTimers
+from millweir.members.table import MemberTable
+from millweir.members.view import Change, LocalState, Member, MemberStatus
 
 __all__ = [
     "MILLISECOND",
@@ -59,689 +62,817 @@
     "Address",
     "Change",
     "Core",
-    "Degree",
+    "LocalState",
     "Member",
+    "MemberStatus",
     "Port",
     "Probe",
     "Rules",
-    "Standing",
 ]
 
-ENVELOPE = 230  # bytes of a datagram without its news, the headers below it with it, about
-DEGREES = {  # of a member not known before, by what is claimed of it
-    Rank.ALIVE: Degree.ALIVE,
-    Rank.SUSPECTED: Degree.SUSPECTED,
-    Rank.GONE: Degree.GONE,
-    Rank.LEFT: Degree.LEFT,
+DATAGRAM_OVERHEAD_BYTES = 230  # approximate size without gossip, including the lower-layer headers
+INITIAL_STATUS = {  # status of a newly added member, by the state that its record reports
+    ReportedState.ALIVE: MemberStatus.ALIVE,
+    ReportedState.SUSPECTED: MemberStatus.SUSPECTED,
+    ReportedState.GONE: MemberStatus.GONE,
+    ReportedState.LEFT: MemberStatus.LEFT,
 }
-URGENT_ROOM = 240  # bytes of news that an answer or a probe carries also where the budget is spent
+MIN_GOSSIP_BYTES = 240  # room for gossip in a probe or an answer even when the byte budget is spent
 
 
 class Core:
-    """One member."""
+    """The membership protocol of one member: probes, suspicions, gossip and the member table."""
 
     def __init__(
         self,
         port: Port,
         rules: Rules,
-        chance: random.Random,
+        rng: random.Random,
         now: int,
-        me: Claim,
+        me: MemberRecord,
         contacts: Iterable[Address] = (),
     ) -> None:
-        """`me`: the incarnation is the last one kept by an earlier life, 0 for none."""
-        self._port, self.rules, self._chance = port, rules, chance
-        self.me = me.ranked(Rank.ALIVE, me.name)
-        if me.incarnation:  # a new life of one that was there before
+        """The incarnation of `me` is the last one saved by an earlier process run, or 0 if there was none."""
+        self._port, self.rules, self._rng = port, rules, rng
+        self.me = me.with_state(ReportedState.ALIVE, me.name)
+        if me.incarnation:  # an earlier process run used the saved incarnation
             self.me = msgspec.structs.replace(self.me, incarnation=me.incarnation + 1)
-            port.keep(me.incarnation + 1)
-        self.standing = Standing.OUT
-        self._table = Table(rules.members_most, chance, now, contacts)
-        self.members = self._table.rows
-        self._ring = self._table.ring
-        self._paths = Paths(rules.cuts_most)
-        self.cuts = self._paths.held
-        self.full = False  # more members than the table holds were heard of
+            port.save_incarnation(me.incarnation + 1)
+        self.local_state = LocalState.NOT_JOINED
+        self._table = MemberTable(rules.max_members, rng, now, contacts)
+        self.members = self._table.members
+        self._active_members = self._table.active_members
+        self._path_table = PathTable(rules.max_path_reports)
+        self.path_reports = self._path_table.reports
+        self.table_full = False  # a record was dropped because the table had no room
         self._probe: Probe | None = None
-        self._past: OrderedDict[int, tuple[Member, int]] = OrderedDict()  # probes over: answers may come late
-        self._relays: OrderedDict[int, Relay] = OrderedDict()  # by our seq
-        self._gossip = Gossip(me.name)
-        self._budget = ByteBudget(rules.bytes_second, rules.datagram_most, now)
+        # Target and start time of the last probes by sequence number, to recognize late acks.
+        self._recent_probes: OrderedDict[int, tuple[Member, int]] = OrderedDict()
+        # Probes on behalf of others, by the sequence number of our ping.
+        self._indirect_probes: OrderedDict[int, IndirectProbe] = OrderedDict()
+        self._gossip = GossipQueue(me.name)
+        self._budget = ByteBudget(rules.bytes_per_second, rules.max_datagram_bytes, now)
         self._suspects: dict[str, Member] = {}
-        self._verdicts = VerdictTimers(self._suspects)
-        self._spans = 0, 0  # least time and findings wanted, when all verdicts were set last
-        self._slow = 0  # Lifeguard's awareness: how much slower than planned this member probes
-        self._vain = 0  # probes in a row that failed altogether
-        self._vain_since = now
-        self._heard_at = now
+        self._suspicion_timers = SuspicionTimers(self._suspects)
+        self._timeout_inputs = 0, 0  # minimum time and expected confirmations of the last full rescheduling
+        self._awareness = 0  # Lifeguard awareness score: probe timeouts are multiplied by one more than this
+        self._unanswered_probes = 0  # consecutive probes without any ack, direct or indirect
+        self._unanswered_since = now
+        self._last_received_at = now
         self._woke_late_at = -NEVER
-        self._lateness = 0
-        self._whole_at = -NEVER
-        self._began = now
-        self._due = NEVER
-        self._probe_at = now + round(chance.uniform(0.5, 1.5) * rules.interval)  # not all in step
-        self._news_at = NEVER
-        self._contact_at = now
+        self._lateness_ms = 0
+        self._full_state_requested_at = -NEVER
+        self._started_at = now
+        self._timer_at = NEVER
+        # Jitter, so that members do not probe in lockstep.
+        self._next_probe_at = now + round(rng.uniform(0.5, 1.5) * rules.interval)
+        self._next_gossip_at = NEVER
+        self._next_contact_at = now
         if not self._table.contacts:
-            self._enter(now)
+            self._join(now)
 
-    # What the caller tells.
+    # Events reported by the caller.
 
-    def heard(self, now: int, told: Told) -> None:
-        """A datagram came that is authentic and not a repeat."""
-        self._wake(now)
-        sender = told.me
-        if not sender.usable() or sender.name == self.me.name and sender.birth == self.me.birth:
+    def receive_datagram(self, now: int, datagram: ReceivedDatagram) -> None:
+        """Processes a datagram that has been authenticated and is not a replay."""
+        self._check_lateness(now)
+        sender = datagram.sender
+        if not sender.is_valid() or sender.name == self.me.name and sender.run_id == self.me.run_id:
             return
-        self._heard_at = now
-        if sender.rank in (Rank.ALIVE, Rank.LEFT) and sender.by == sender.name:
-            self._claimed(now, sender)
+        self._last_received_at = now
+        if sender.state in (ReportedState.ALIVE, ReportedState.LEFT) and sender.reporter == sender.name:
+            self._apply_record(now, sender)
         member = self.members.get(sender.name)
-        if member and member.claim.birth == sender.birth:
-            self._word_of(now, member, told)
+        if member and member.record.run_id == sender.run_id:
+            self._note_received_from(now, member, datagram)
         elif member:
             member = None
-        for claim in told.claims:
-            if claim.usable():
-                self._claimed(now, claim)
-        for cut in told.cuts:
-            self._cut_told(now, cut)
-        if told.kind is Kind.PING and told.target in ("", self.me.name):
-            self._pinged(now, told)
-        elif told.kind is Kind.ACK:
-            self._acked(now, told, member)
-        elif told.kind is Kind.NACK and self._probe and told.seq == self._probe.seq:
+        for record in datagram.records:
+            if record.is_valid():
+                self._apply_record(now, record)
+        for report in datagram.path_reports:
+            self._handle_path_report(now, report)
+        if datagram.kind is Kind.PING and datagram.target in ("", self.me.name):
+            self._handle_ping(now, datagram)
+        elif datagram.kind is Kind.ACK:
+            self._handle_ack(now, datagram, member)
+        elif datagram.kind is Kind.NACK and self._probe and datagram.seq == self._probe.seq:
             self._probe.nacks += 1
-        elif told.kind is Kind.ASK and self.standing is Standing.IN:
-            self._asked(now, told)
-        self._compare(now, told)
-        self._arm(now)
-
-    def whole_told(self, now: int, whole: Whole) -> None:
-        """Another member's whole state came, asked for here or there."""
-        self._wake(now)
-        self._heard_at = now
-        claims = [claim for claim in (whole.me, *whole.claims) if claim.usable()]
-        for claim in claims:
-            self._claimed(now, claim)
-        for cut in whole.cuts:
-            self._cut_told(now, cut)
-        if self.standing is Standing.OUT and not any(self._is_anothers(claim) for claim in claims):
-            self._enter(now)
-        self._arm(now)
+        elif datagram.kind is Kind.PING_REQ and self.local_state is LocalState.JOINED:
+            self._handle_ping_req(now, datagram)
+        self._compare_digests(now, datagram)
+        self._update_timer(now)
+
+    def receive_full_state(self, now: int, full_state: FullState) -> None:
+        """Merges another member's full state, whichever side requested the exchange."""
+        self._check_lateness(now)
+        self._last_received_at = now
+        records = [record for record in (full_state.sender, *full_state.records) if record.is_valid()]
+        for record in records:
+            self._apply_record(now, record)
+        for report in full_state.path_reports:
+            self._handle_path_report(now, report)
+        if self.local_state is LocalState.NOT_JOINED and not any(
+            self._is_name_conflict(record) for record in records
+        ):
+            self._join(now)
+        self._update_timer(now)
 
     def time_passed(self, now: int) -> None:
-        """The time that was asked for by `wake` has come."""
-        self._wake(now)
-        self._due = 0  # ask again in any case: a loop's timers go by the time its turn began, so fire early
-        if now >= self._contact_at:
-            self._contact(now)
-        if now >= self._probe_at:
-            self._step(now)
-        self._judge(now)
-        for seq in [seq for seq, relay in self._relays.items() if relay.ends <= now]:
-            relay = self._relays.pop(seq)
-            self._send(now, relay.asker, Kind.NACK, relay.seq, target=relay.target)
-        if now >= self._news_at:
-            self._tell_news(now)
-        self._arm(now)
+        """Runs everything that is due; called when the time requested by `set_timer` is reached."""
+        self._check_lateness(now)
+        # Always rearm: an event loop compares timers with the start of its turn, so they may fire early.
+        self._timer_at = 0
+        if now >= self._next_contact_at:
+            self._contact_inactive_members(now)
+        if now >= self._next_probe_at:
+            self._advance_probe(now)
+        self._expire_suspicions(now)
+        for seq in [
+            seq for seq, indirect_probe in self._indirect_probes.items() if indirect_probe.ends_at <= now
+        ]:
+            indirect_probe = self._indirect_probes.pop(seq)
+            self._send(
+                now, indirect_probe.requester, Kind.NACK, indirect_probe.seq, target=indirect_probe.target
+            )
+        if now >= self._next_gossip_at:
+            self._send_gossip(now)
+        self._update_timer(now)
 
     def leave(self, now: int) -> None:
-        """An orderly end: told to as many as a claim is told to, then silence."""
-        if self.standing is Standing.LEAVING:
+        """Announces an orderly leave to as many members as any other update; then the member goes silent."""
+        if self.local_state is LocalState.LEAVING:
             return
-        was, self.standing = self.standing, Standing.LEAVING
-        self.me = self.me.ranked(Rank.LEFT, self.me.name)
+        was, self.local_state = self.local_state, LocalState.LEAVING
+        self.me = self.me.with_state(ReportedState.LEFT, self.me.name)
         self._probe = None
-        if was is Standing.IN:
-            for member in self._ring.some(max(self.rules.news_to, 2 * self.rules.helpers)):
-                self._send(now, member.claim, Kind.NEWS, 0)
-            self._gossip.tell(self.me.name, self.me)
-            self._news_at = now
-        self._arm(now)
-
-    def whole(self, high: int = 1 << 30) -> Whole:
-        """All that is held here, for a member that speaks versions up to `high`."""
-        claims = tuple(member.claim for member in self.members.values())
-        return Whole(self.me, claims, tuple(self.cuts.values()) if high >= CUTS_SINCE else ())
-
-    def introduce(self, now: int, claim: Claim) -> None:
-        """A member known from elsewhere, as if it had always been there."""
-        self._claimed(now, claim)
-
-    def settle(self, now: int, contacts: Iterable[Address]) -> None:
-        """All are introduced: nothing of it is news."""
+        if was is LocalState.JOINED:
+            for member in self._active_members.sample(
+                max(self.rules.gossip_fanout, 2 * self.rules.indirect_probe_count)
+            ):
+                self._send(now, member.record, Kind.GOSSIP, 0)
+            self._gossip.enqueue(self.me.name, self.me)
+            self._next_gossip_at = now
+        self._update_timer(now)
+
+    def build_full_state(self, max_version: int = 1 << 30) -> FullState:
+        """Returns everything held here, in the form for a member that supports up to `max_version`."""
+        records = tuple(member.record for member in self.members.values())
+        return FullState(
+            self.me,
+            records,
+            tuple(self.path_reports.values()) if max_version >= PATH_REPORTS_MIN_VERSION else (),
+        )
+
+    def add_known_member(self, now: int, record: MemberRecord) -> None:
+        """Adds a member known from another source, as if it had always been present."""
+        self._apply_record(now, record)
+
+    def finish_bootstrap(self, now: int, contacts: Iterable[Address]) -> None:
+        """Ends the adding of known members: sets the contacts and discards the gossip it has caused."""
         self._table.set_contacts(contacts)
         self._gossip.clear()
-        self._arm(now)
+        self._update_timer(now)
 
-    # What may be asked.
+    # Queries.
 
-    def in_doubt(self, now: int) -> str:
-        """Why this member trusts its own verdicts not at all at present; empty where it does."""
+    def diagnose_local_health(self, now: int) -> str:
+        """Returns why this member's own failure verdicts are unreliable at present, or "" if they are not."""
         if now - self._woke_late_at < self.rules.interval:
             return "late"
-        if self._vain >= max(2, min(3, len(self._ring))) and now - self._vain_since < self.rules.doubt_most:
+        if (
+            self._unanswered_probes >= max(2, min(3, len(self._active_members)))
+            and now - self._unanswered_since < self.rules.max_isolation
+        ):
             return "unanswered"
         return ""
 
-    def degree(self, now: int, member: Member) -> Degree:
-        """What the view shows of a member."""
-        if member.degree is Degree.ALIVE:
-            if member.cut_in or member.cut_out:
-                return Degree.CUT
-            if member.late * MILLISECOND > self.rules.timeout // 2:
-                return Degree.LATE
-        return member.degree
+    def status_of(self, now: int, member: Member) -> MemberStatus:
+        """Returns the status of a member as the view shows it: path faults and lateness override `ALIVE`."""
+        if member.status is MemberStatus.ALIVE:
+            if member.inbound_down_since or member.outbound_down_since:
+                return MemberStatus.PATH_DOWN
+            if member.lateness_ms * MILLISECOND > self.rules.timeout // 2:
+                return MemberStatus.LATE
+        return member.status
 
     @property
-    def alive(self) -> int:
-        """How many others are held for there."""
-        return len(self._ring)
+    def active_count(self) -> int:
+        """Number of other members that are alive or suspected."""
+        return len(self._active_members)
 
     @property
     def digest(self) -> int:
-        """Of all who are held for there, this member with them; the same where two agree on them."""
-        return self._table.digest ^ mark(self.me.name, self.me.incarnation, self.me.birth)
+        """Digest of the active members including this one; equal for members that agree on them."""
+        return self._table.digest ^ mark(self.me.name, self.me.incarnation, self.me.run_id)
 
     @property
-    def slow(self) -> int:
-        return self._slow
+    def awareness(self) -> int:
+        """Lifeguard awareness score: 0 while this member keeps up, higher when it seems to run slowly."""
+        return self._awareness
 
     @property
-    def lateness(self) -> int:
-        """Milliseconds by which this member's turns ran late of late."""
-        return self._lateness
+    def lateness_ms(self) -> int:
+        """Milliseconds by which this member's timer recently fired late; 0 if it did not."""
+        return self._lateness_ms
 
-    def some_contacts(self, most: int) -> list[Address]:
-        """Where others can be found after a restart: so many at the most."""
-        return [member.claim.address for member in islice(self._ring, most)]
+    def list_contacts(self, limit: int) -> list[Address]:
+        """Returns the addresses of up to `limit` active members, to be contacted after a restart."""
+        return [member.record.address for member in islice(self._active_members, limit)]
 
-    # Time.
+    # Timer.
 
-    def _wake(self, now: int) -> None:
-        """Guards against what a pause makes of others: nobody answers who was not listened to."""
-        late = now - self._due
-        if late > self.rules.timeout // 2:
+    def _check_lateness(self, now: int) -> None:
+        """Guards the others after a pause of this process: acks that it has not read are not missing."""
+        delay = now - self._timer_at
+        if delay > self.rules.timeout // 2:
             self._woke_late_at = now
-            self._lateness = min(late // MILLISECOND, 1 << 30)
-            self._slow = min(self._slow + 1, self.rules.late_most)
+            self._lateness_ms = min(delay // MILLISECOND, 1 << 30)
+            self._awareness = min(self._awareness + 1, self.rules.max_awareness)
             if self._probe and not self._probe.answered:
                 self._probe = None
-            self._probe_at = max(self._probe_at, now + self.rules.timeout)
+            self._next_probe_at = max(self._next_probe_at, now + self.rules.timeout)
             for member in self._suspects.values():
-                later = now + min(late, 3 * self.rules.interval)
-                member.verdict_at = max(member.verdict_at, later)
-                self._verdicts.add(member)
-            self._vain = 0
-            self._heard_at = max(self._heard_at, min(now, self._heard_at + late))
-            self._port.say("members.woke-late", late_ms=late // MILLISECOND)
-        elif self._lateness and now - self._woke_late_at > 3 * self.rules.interval:
-            self._lateness = 0
-        self._due = max(self._due, now)
-
-    def _span(self, planned: int) -> int:
-        return planned * (1 + self._slow)
-
-    def _arm(self, now: int) -> None:
-        due = min(self._probe_at, self._contact_at)
+                earliest = now + min(delay, 3 * self.rules.interval)
+                member.suspicion_expires_at = max(member.suspicion_expires_at, earliest)
+                self._suspicion_timers.add(member)
+            self._unanswered_probes = 0
+            self._last_received_at = max(self._last_received_at, min(now, self._last_received_at + delay))
+            self._port.log_event("members.woke-late", late_ms=delay // MILLISECOND)
+        elif self._lateness_ms and now - self._woke_late_at > 3 * self.rules.interval:
+            self._lateness_ms = 0
+        self._timer_at = max(self._timer_at, now)
+
+    def _scale_by_awareness(self, duration: int) -> int:
+        """Lengthens a probe time while this member seems to run slowly itself."""
+        return duration * (1 + self._awareness)
+
+    def _update_timer(self, now: int) -> None:
+        """Requests a call of `time_passed` at the earliest time at which anything is due."""
+        due = min(self._next_probe_at, self._next_contact_at)
         if self._gossip:
-            self._news_at = min(self._news_at, now + self.rules.news_every)
-            due = min(due, self._news_at)
+            self._next_gossip_at = min(self._next_gossip_at, now + self.rules.gossip_interval)
+            due = min(due, self._next_gossip_at)
         else:
-            self._news_at = NEVER
-        due = min(due, self._verdicts.next_at())
-        for relay in self._relays.values():
-            due = min(due, relay.ends)
-            break  # the oldest ends first
+            self._next_gossip_at = NEVER
+        due = min(due, self._suspicion_timers.next_expiry())
+        for indirect_probe in self._indirect_probes.values():
+            due = min(due, indirect_probe.ends_at)
+            break  # in order of their end: all have the same duration
         due = max(due, now + MILLISECOND)
-        if due != self._due:
-            self._due = due
-            self._port.wake(due)
+        if due != self._timer_at:
+            self._timer_at = due
+            self._port.set_timer(due)
 
     # Probes.
 
-    def _step(self, now: int) -> None:
-        """The probe under way goes on, or the next one begins."""
+    def _advance_probe(self, now: int) -> None:
+        """Requests indirect probes for the running probe, or ends it and starts the next one."""
         probe = self._probe
-        if probe and now < probe.ends:
-            if not probe.answered and not probe.asked:
-                self._ask_helpers(now, probe)
-            self._probe_at = probe.ends
+        if probe and now < probe.ends_at:
+            if not probe.answered and not probe.indirect_requested:
+                self._request_indirect_probes(now, probe)
+            self._next_probe_at = probe.ends_at
             return
         if probe and not probe.answered:
-            self._failed(now, probe)
+            self._handle_probe_failure(now, probe)
         self._probe = None
-        target = self._next() if self.standing is Standing.IN else None
+        target = self._choose_target() if self.local_state is LocalState.JOINED else None
         if target is None:
-            self._probe_at = now + self.rules.interval
+            self._next_probe_at = now + self.rules.interval
             return
-        seq = self._chance.getrandbits(48)
+        seq = self._rng.getrandbits(48)
         probe = self._probe = Probe(
-            target, seq, now, now + self._span(self.rules.timeout), now + self._span(self.rules.interval)
+            target,
+            seq,
+            now,
+            now + self._scale_by_awareness(self.rules.timeout),
+            now + self._scale_by_awareness(self.rules.interval),
         )
-        self._past[seq] = target, now
-        while len(self._past) > 32:
-            self._past.popitem(last=False)
-        self._send(now, target.claim, Kind.PING, seq, target=target.claim.name)
-        self._probe_at = probe.asks_at
-
-    def _next(self) -> Member | None:
-        last = self._ring.current
-        if last and 0 < last.ask_in_vain < 3:
-            return last  # is its path down, or was that chance? A large fleet would not be back here for long
-        return self._ring.advance()
-
-    def _ask_helpers(self, now: int, probe: Probe) -> None:
-        probe.asked = True
-        claim = probe.target.claim
-        self._send(now, claim, Kind.PING, probe.seq, target=claim.name)  # the first one may just be lost
-        for helper in self._ring.some(self.rules.helpers, probe.target):
-            probe.wanted += 1
+        self._recent_probes[seq] = target, now
+        while len(self._recent_probes) > 32:
+            self._recent_probes.popitem(last=False)
+        self._send(now, target.record, Kind.PING, seq, target=target.record.name)
+        self._next_probe_at = probe.indirect_at
+
+    def _choose_target(self) -> Member | None:
+        """Returns the member to be probed next, or None if there is no other."""
+        last = self._active_members.current
+        if last and 0 < last.indirect_only_probes < 3:
+            # Probe it again at once to tell a path that is down from lost datagrams: in a large fleet its
+            # next turn would come much later.
+            return last
+        return self._active_members.advance()
+
+    def _request_indirect_probes(self, now: int, probe: Probe) -> None:
+        """Pings the target again, and asks a few other members to ping it."""
+        probe.indirect_requested = True
+        record = probe.target.record
+        self._send(now, record, Kind.PING, probe.seq, target=record.name)  # the first ping may have been lost
+        for helper in self._active_members.sample(self.rules.indirect_probe_count, probe.target):
+            probe.expected_nacks += 1
             self._send(
-                now, helper.claim, Kind.ASK, probe.seq, target=claim.name, host=claim.host, port=claim.port
+                now,
+                helper.record,
+                Kind.PING_REQ,
+                probe.seq,
+                target=record.name,
+                host=record.host,
+                port=record.port,
             )
 
-    def _failed(self, now: int, probe: Probe) -> None:
-        """No answer on any way."""
+    def _handle_probe_failure(self, now: int, probe: Probe) -> None:
+        """Raises the awareness score and suspects the target: neither it nor a helper has answered."""
         member = probe.target
-        missed = probe.wanted - probe.nacks if probe.wanted else 1
-        self._slow = min(self._slow + max(missed, 0), self.rules.late_most)
-        if not self._vain:
-            self._vain_since = probe.began
-        self._vain += 1
-        if not member.active or self.in_doubt(now):
+        missed = probe.expected_nacks - probe.nacks if probe.expected_nacks else 1
+        self._awareness = min(self._awareness + max(missed, 0), self.rules.max_awareness)
+        if not self._unanswered_probes:
+            self._unanswered_since = probe.started_at
+        self._unanswered_probes += 1
+        if not member.active or self.diagnose_local_health(now):
             return
-        self._claimed(now, member.claim.ranked(max(Rank.SUSPECTED, member.claim.rank), self.me.name))
-
-    def _pinged(self, now: int, told: Told) -> None:
-        heard = -1
-        if told.asker and (asker := self.members.get(told.asker)):
-            if asker.heard_at >= 0:
-                heard = (now - asker.heard_at) // MILLISECOND
-            self._send(now, asker.claim, Kind.NEWS, 0)  # shows it whether the way from here is up
-        self._send(now, told.me, Kind.ACK, told.seq, target=self.me.name, asker=told.asker, heard=heard)
-
-    def _asked(self, now: int, told: Told) -> None:
-        if len(self._relays) >= self.rules.relays_most or not told.host or not 0 < told.port < 65536:
+        self._apply_record(
+            now, member.record.with_state(max(ReportedState.SUSPECTED, member.record.state), self.me.name)
+        )
+
+    def _handle_ping(self, now: int, datagram: ReceivedDatagram) -> None:
+        """Answers with an ack, which tells the requester of an indirect ping whether its datagrams arrive."""
+        last_seen_ms = -1
+        if datagram.requester and (requester := self.members.get(datagram.requester)):
+            if requester.last_received_at >= 0:
+                last_seen_ms = (now - requester.last_received_at) // MILLISECOND
+            # Shows the requester whether the path from here is up.
+            self._send(now, requester.record, Kind.GOSSIP, 0)
+        self._send(
+            now,
+            datagram.sender,
+            Kind.ACK,
+            datagram.seq,
+            target=self.me.name,
+            requester=datagram.requester,
+            requester_last_seen_ms=last_seen_ms,
+        )
+
+    def _handle_ping_req(self, now: int, datagram: ReceivedDatagram) -> None:
+        """Pings the target on behalf of the sender, whether or not the target is known here."""
+        if (
+            len(self._indirect_probes) >= self.rules.max_indirect_probes
+            or not datagram.host
+            or not 0 < datagram.port < 65536
+        ):
             return
-        target = self.members.get(told.target)
-        seq = self._chance.getrandbits(48)
-        # Before the asker's probe ends, so that it learns that its helpers are well.
-        ends = now + self.rules.timeout * 4 // 5
-        self._relays[seq] = Relay(told.me, told.seq, told.target, ends)
+        target = self.members.get(datagram.target)
+        seq = self._rng.getrandbits(48)
+        # Ends before the requester's probe does, so that the nack shows in time that this helper is healthy.
+        ends_at = now + self.rules.timeout * 4 // 5
+        self._indirect_probes[seq] = IndirectProbe(datagram.sender, datagram.seq, datagram.target, ends_at)
         if target:
-            self._send(now, target.claim, Kind.PING, seq, target=told.target, asker=told.me.name)
+            self._send(
+                now, target.record, Kind.PING, seq, target=datagram.target, requester=datagram.sender.name
+            )
         else:
             self._port.send(
-                (told.host, told.port),
-                self.me.low,
-                Datagram(Kind.PING, seq, self.me, told.target, asker=told.me.name),
+                (datagram.host, datagram.port),
+                self.me.min_version,
+                Datagram(Kind.PING, seq, self.me, datagram.target, requester=datagram.sender.name),
             )
 
-    def _acked(self, now: int, told: Told, sender: Member | None) -> None:
-        relay = self._relays.pop(told.seq, None)
-        if relay:
-            self._send(now, relay.asker, Kind.ACK, relay.seq, target=relay.target, heard=told.heard)
+    def _handle_ack(self, now: int, datagram: ReceivedDatagram, sender: Member | None) -> None:
+        """Passes on the ack of an indirect probe, or evaluates that of the own probe."""
+        indirect_probe = self._indirect_probes.pop(datagram.seq, None)
+        if indirect_probe:
+            self._send(
+                now,
+                indirect_probe.requester,
+                Kind.ACK,
+                indirect_probe.seq,
+                target=indirect_probe.target,
+                requester_last_seen_ms=datagram.requester_last_seen_ms,
+            )
             return
-        if self.standing is Standing.OUT and (told.digest or now - self._began >= self.rules.interval):
-            self._want_whole(now, told.me)
+        if self.local_state is LocalState.NOT_JOINED and (
+            datagram.digest or now - self._started_at >= self.rules.interval
+        ):
+            self._request_full_state(now, datagram.sender)
         probe = self._probe
-        if not probe or told.seq != probe.seq:
-            past = self._past.pop(told.seq, None)
-            if past and sender is past[0]:  # it answered, but late
-                self._late_is(now, sender, (now - past[1]) // MILLISECOND, self.me.name)
+        if not probe or datagram.seq != probe.seq:
+            recent = self._recent_probes.pop(datagram.seq, None)
+            if recent and sender is recent[0]:  # a late ack of an earlier probe
+                self._set_lateness(now, sender, (now - recent[1]) // MILLISECOND, self.me.name)
             return
         member = probe.target
-        direct = told.me.name == member.claim.name
-        if not direct and told.target != member.claim.name:
+        is_direct = datagram.sender.name == member.record.name
+        if not is_direct and datagram.target != member.record.name:
             return
         if not probe.answered:
             probe.answered = True
-            self._vain = 0
-            self._slow //= 2  # one step at a time kept fleets under pauses slow for minutes
-        if direct:
-            if not probe.direct:
-                probe.direct = True
-                self._past.pop(told.seq, None)
-                self._path(now, member, out=False, into=False)
-                member.ask_in_vain = 0
-        elif not probe.direct and probe.wanted:
-            probe.wanted = 0  # once a probe
-            self._in_vain(now, member, probe, 0 <= told.heard <= (now - probe.began) // MILLISECOND + 1)
-
-    # Paths that are down one way.
-
-    def _in_vain(self, now: int, member: Member, probe: Probe, hears_us: bool) -> None:
-        """It lives, but this probe had no answer on the direct way; lost datagrams do that too."""
-        if not member.ask_in_vain:
-            member.vain_since = probe.began
-        member.ask_in_vain += 1
-        if member.ask_in_vain >= 3:
-            self._path(now, member, out=not hears_us, into=member.heard_at < member.vain_since)
-
-    def _path(self, now: int, member: Member, out: bool, into: bool) -> None:
-        """The paths to and from a member, as found by our own probes."""
-        before = self.degree(now, member)
+            self._unanswered_probes = 0
+            self._awareness //= 2  # steps of one kept fleets with paused members slow for minutes
+        if is_direct:
+            if not probe.answered_directly:
+                probe.answered_directly = True
+                self._recent_probes.pop(datagram.seq, None)
+                self._set_path_state(now, member, outbound_down=False, inbound_down=False)
+                member.indirect_only_probes = 0
+        elif not probe.answered_directly and probe.expected_nacks:
+            probe.expected_nacks = 0  # count this probe only once
+            self._count_indirect_only_probe(
+                now,
+                member,
+                probe,
+                0 <= datagram.requester_last_seen_ms <= (now - probe.started_at) // MILLISECOND + 1,
+            )
+
+    # Paths that are down in one direction.
+
+    def _count_indirect_only_probe(
+        self, now: int, member: Member, probe: Probe, reaches_target: bool
+    ) -> None:
+        """Counts a probe that was answered only through a helper; a lost datagram alone also causes that."""
+        if not member.indirect_only_probes:
+            member.indirect_only_since = probe.started_at
+        member.indirect_only_probes += 1
+        if member.indirect_only_probes >= 3:
+            self._set_path_state(
+                now,
+                member,
+                outbound_down=not reaches_target,
+                inbound_down=member.last_received_at < member.indirect_only_since,
+            )
+
+    def _set_path_state(self, now: int, member: Member, outbound_down: bool, inbound_down: bool) -> None:
+        """Records whether the paths to and from a member are down, as found by this member's own probes."""
+        before = self.status_of(now, member)
         for field, down, start, end in (
-            ("cut_out", out, self.me.name, member.claim.name),
-            ("cut_in", into, member.claim.name, self.me.name),
+            ("outbound_down_since", outbound_down, self.me.name, member.record.name),
+            ("inbound_down_since", inbound_down, member.record.name, self.me.name),
         ):
             if bool(getattr(member, field)) != down:
                 setattr(member, field, now if down else 0)
-                self._hold_cut(self._paths.own(now, start, end, self.me.name, down))
-        self._shown(now, member, before, self.me.name)
-
-    def _cut_told(self, now: int, cut: Cut) -> None:
-        teller = self.members.get(cut.by)
-        told_by_its_end = cut.by in (cut.start, cut.end) and cut.by != self.me.name
-        if teller and teller.active and told_by_its_end and self._paths.is_news(cut):
-            self._hold_cut(cut)
-
-    def _hold_cut(self, cut: Cut) -> None:
-        self._paths.hold(cut)
-        self._gossip.tell(key_of(cut), cut)
-
-    # Claims.
-
-    def _claimed(self, now: int, claim: Claim) -> None:
-        """Somebody says how a member stands; old news change nothing."""
-        if not claim.incarnation or claim.rank is Rank.LEFT and claim.by != claim.name:
-            return  # not yet in; or only a member itself can say that it leaves
-        if claim.name == self.me.name:
-            self._about_me(now, claim)
+                self._store_path_report(self._path_table.create_report(now, start, end, self.me.name, down))
+        self._notify_if_status_changed(now, member, before, self.me.name)
+
+    def _handle_path_report(self, now: int, report: PathReport) -> None:
+        """Accepts a report of an active member about a path of its own."""
+        reporting_member = self.members.get(report.reporter)
+        from_endpoint = report.reporter in (report.start, report.end) and report.reporter != self.me.name
+        if (
+            reporting_member
+            and reporting_member.active
+            and from_endpoint
+            and self._path_table.is_newer(report)
+        ):
+            self._store_path_report(report)
+
+    def _store_path_report(self, report: PathReport) -> None:
+        self._path_table.store(report)
+        self._gossip.enqueue(path_key(report), report)
+
+    # Member records.
+
+    def _apply_record(self, now: int, record: MemberRecord) -> None:
+        """Applies a record, unless the current record of that member takes precedence."""
+        if not record.incarnation or record.state is ReportedState.LEFT and record.reporter != record.name:
+            return  # has not joined yet, or a leave that the member itself did not report
+        if record.name == self.me.name:
+            self._handle_own_record(now, record)
             return
-        member = self.members.get(claim.name)
+        member = self.members.get(record.name)
         if member is None:
-            self._met(now, claim)
+            self._add_member(now, record)
             return
-        if claim.key < member.claim.key:
+        if record.precedence < member.record.precedence:
             return
-        if claim.key == member.claim.key:
-            if member.accusers is not None and claim.rank in (Rank.SUSPECTED, Rank.GONE):
-                self._found_too(now, member, claim)
+        if record.precedence == member.record.precedence:
+            if member.suspected_by is not None and record.state in (
+                ReportedState.SUSPECTED,
+                ReportedState.GONE,
+            ):
+                self._confirm_suspicion(now, member, record)
             return
-        newer, was = claim.incarnation > member.claim.incarnation, member.claim
-        if claim.rank >= Rank.GONE and not member.active:
-            self._hold(now, member, claim, Degree.LEFT if claim.rank is Rank.LEFT else Degree.GONE)
-        elif claim.rank is Rank.LEFT:
-            self._hold(now, member, claim, Degree.LEFT)
-        elif claim.rank is Rank.ALIVE:
-            if was.birth != claim.birth:
-                member.heard_at, member.late, member.ask_in_vain = -NEVER, 0, 0
-            self._hold(now, member, claim, Degree.ALIVE)
-        elif claim.rank is Rank.GONE and member.degree is Degree.SUSPECTED:
-            self._hold(now, member, claim, Degree.GONE)
-        else:  # gone too: guards the living of one side of a cut against what the other made of them
-            self._suspect(now, member, claim, newer)
-        self._gossip.tell(claim.name, claim)
-
-    def _met(self, now: int, claim: Claim) -> None:
-        """A name not known before."""
+        newer, previous = record.incarnation > member.record.incarnation, member.record
+        if record.state >= ReportedState.GONE and not member.active:
+            self._set_record(
+                now,
+                member,
+                record,
+                MemberStatus.LEFT if record.state is ReportedState.LEFT else MemberStatus.GONE,
+            )
+        elif record.state is ReportedState.LEFT:
+            self._set_record(now, member, record, MemberStatus.LEFT)
+        elif record.state is ReportedState.ALIVE:
+            if previous.run_id != record.run_id:
+                member.last_received_at, member.lateness_ms, member.indirect_only_probes = -NEVER, 0, 0
+            self._set_record(now, member, record, MemberStatus.ALIVE)
+        elif record.state is ReportedState.GONE and member.status is MemberStatus.SUSPECTED:
+            self._set_record(now, member, record, MemberStatus.GONE)
+        else:  # also for GONE: after a partition, one side must not remove live members of the other
+            self._suspect(now, member, record, newer)
+        self._gossip.enqueue(record.name, record)
+
+    def _add_member(self, now: int, record: MemberRecord) -> None:
+        """Adds a member whose name is not in the table yet."""
         if not self._table.has_room():
-            if not self.full:
-                self.full = True
-                self._port.say("members.table-full", most=self.rules.members_most)
+            if not self.table_full:
+                self.table_full = True
+                self._port.log_event("members.table-full", most=self.rules.max_members)
             return
-        member = self._table.add(now, claim, DEGREES[claim.rank])
-        if claim.rank is Rank.SUSPECTED:
-            self._begin_suspicion(now, member, claim.by)
+        member = self._table.add(now, record, INITIAL_STATUS[record.state])
+        if record.state is ReportedState.SUSPECTED:
+            self._start_suspicion(now, member, record.reporter)
         if member.active:
-            self._gossip.tell(claim.name, claim)
-        self._shown(now, member, None, claim.by)
-
-    def _hold(self, now: int, member: Member, claim: Claim, degree: Degree) -> None:
-        """The claim that holds from now on."""
-        before, was_active = self.degree(now, member), member.active
-        self._table.hold(now, member, claim, degree)
-        if degree is not Degree.SUSPECTED:
-            member.accusers, member.verdict_at = None, NEVER
-            self._suspects.pop(claim.name, None)
+            self._gossip.enqueue(record.name, record)
+        self._notify_if_status_changed(now, member, None, record.reporter)
+
+    def _set_record(self, now: int, member: Member, record: MemberRecord, status: MemberStatus) -> None:
+        """Replaces the current record and status of a member."""
+        before, was_active = self.status_of(now, member), member.active
+        self._table.update(now, member, record, status)
+        if status is not MemberStatus.SUSPECTED:
+            member.suspected_by, member.suspicion_expires_at = None, NEVER
+            self._suspects.pop(record.name, None)
         if was_active and not member.active:
-            member.cut_in = member.cut_out = 0
-            self._paths.forget(claim.name)
-        self._shown(now, member, before, claim.by)
+            member.inbound_down_since = member.outbound_down_since = 0
+            self._path_table.remove_reports_by(record.name)
+        self._notify_if_status_changed(now, member, before, record.reporter)
 
     # Suspicions.
 
-    def _suspect(self, now: int, member: Member, claim: Claim, newer: bool) -> None:
-        running = member.accusers is not None and not newer
-        self._hold(now, member, claim, Degree.SUSPECTED)
+    def _suspect(self, now: int, member: Member, record: MemberRecord, newer: bool) -> None:
+        """Starts a suspicion, or confirms the running one if the record is of the same incarnation."""
+        running = member.suspected_by is not None and not newer
+        self._set_record(now, member, record, MemberStatus.SUSPECTED)
         if running:
-            self._found_too(now, member, claim)
+            self._confirm_suspicion(now, member, record)
         else:
-            self._begin_suspicion(now, member, claim.by)
+            self._start_suspicion(now, member, record.reporter)
 
-    def _begin_suspicion(self, now: int, member: Member, by: str) -> None:
-        member.degree = Degree.SUSPECTED
-        member.accusers, member.suspected_at = {by}, now
-        self._suspects[member.claim.name] = member
-        if self._spans_changed():
+    def _start_suspicion(self, now: int, member: Member, reporter: str) -> None:
+        member.status = MemberStatus.SUSPECTED
+        member.suspected_by, member.suspected_at = {reporter}, now
+        self._suspects[member.record.name] = member
+        if self._timeout_inputs_changed():
             for suspect in self._suspects.values():
-                self._time_verdict(suspect)
+                self._schedule_suspicion_expiry(suspect)
         else:
-            self._time_verdict(member)
+            self._schedule_suspicion_expiry(member)
 
-    def _found_too(self, now: int, member: Member, claim: Claim) -> None:
-        """One more member finds the same: sooner gone, and told on as often as the first time."""
-        if claim.by in member.accusers or len(member.accusers) > self.rules.helpers:
+    def _confirm_suspicion(self, now: int, member: Member, record: MemberRecord) -> None:
+        """Counts one more member's suspicion: it expires sooner, and is gossiped as often as a new one."""
+        if (
+            record.reporter in member.suspected_by
+            or len(member.suspected_by) > self.rules.indirect_probe_count
+        ):
             return
-        member.accusers.add(claim.by)
-        self._time_verdict(member)
-        self._gossip.tell(claim.name, claim)
-
-    def _spans_changed(self) -> bool:
-        """Whether verdicts set earlier would be set otherwise now, by more than a hundredth."""
-        least, wanted = self.rules.least(len(self._ring) + 1), self._findings_wanted()
-        least_before, wanted_before = self._spans
-        if wanted == wanted_before and abs(least - least_before) * 100 <= least_before:
+        member.suspected_by.add(record.reporter)
+        self._schedule_suspicion_expiry(member)
+        self._gossip.enqueue(record.name, record)
+
+    def _timeout_inputs_changed(self) -> bool:
+        """Returns whether expiry times set earlier would now differ by more than 1%."""
+        min_time, expected = (
+            self.rules.min_suspicion_time(len(self._active_members) + 1),
+            self._expected_confirmations(),
+        )
+        min_time_before, expected_before = self._timeout_inputs
+        if expected == expected_before and abs(min_time - min_time_before) * 100 <= min_time_before:
             return False
-        self._spans = least, wanted
+        self._timeout_inputs = min_time, expected
         return True
 
-    def _findings_wanted(self) -> int:
-        """As many more as can find it: where several died at once, those say nothing of each other."""
-        return min(self.rules.helpers, len(self._ring) - len(self._suspects))
+    def _expected_confirmations(self) -> int:
+        """Members that can still confirm a suspicion: those suspected at the same time do not count."""
+        return min(self.rules.indirect_probe_count, len(self._active_members) - len(self._suspects))
 
-    def _time_verdict(self, member: Member) -> None:
-        self._set_verdict(member)
-        self._verdicts.add(member)
+    def _schedule_suspicion_expiry(self, member: Member) -> None:
+        self._set_suspicion_expiry(member)
+        self._suspicion_timers.add(member)
 
-    def _set_verdict(self, member: Member) -> None:
-        least = self.rules.least(len(self._ring) + 1)
-        if member.claim.rank is Rank.GONE:
-            span = least  # somebody has waited already
+    def _set_suspicion_expiry(self, member: Member) -> None:
+        """Shortens the timeout from its maximum to its minimum with the logarithm of the confirmations."""
+        min_time = self.rules.min_suspicion_time(len(self._active_members) + 1)
+        if member.record.state is ReportedState.GONE:
+            duration = min_time  # the member that reported it gone has waited already
         else:
-            most = least * self.rules.patience
-            wanted = self._findings_wanted()
-            found = min(len(member.accusers) - 1, wanted)
-            share = math.log(found + 1) / math.log(wanted + 1) if wanted else 1.0
-            span = round(max(least, most - (most - least) * share))
-        member.verdict_at = member.suspected_at + span
-
-    def _judge(self, now: int) -> None:
-        """Suspicions that have run out."""
-        for member in self._verdicts.due(now):
-            if self.in_doubt(now):
-                member.verdict_at = now + self.rules.interval
-                self._verdicts.add(member)
+            max_time = min_time * self.rules.max_suspicion_factor
+            expected = self._expected_confirmations()
+            confirmations = min(len(member.suspected_by) - 1, expected)
+            progress = math.log(confirmations + 1) / math.log(expected + 1) if expected else 1.0
+            duration = round(max(min_time, max_time - (max_time - min_time) * progress))
+        member.suspicion_expires_at = member.suspected_at + duration
+
+    def _expire_suspicions(self, now: int) -> None:
+        """Declares members gone whose suspicion has expired; waits while local health is impaired."""
+        for member in self._suspicion_timers.pop_expired(now):
+            if self.diagnose_local_health(now):
+                member.suspicion_expires_at = now + self.rules.interval
+                self._suspicion_timers.add(member)
                 continue
-            claim = member.claim.ranked(Rank.GONE, self.me.name)
-            self._hold(now, member, claim, Degree.GONE)
-            self._gossip.tell(claim.name, claim)
-
-    def _word_of(self, now: int, member: Member, told: Told) -> None:
-        """The member itself was heard."""
-        member.heard_at = now
-        self._late_is(now, member, told.late, member.claim.name)
-
-    def _late_is(self, now: int, member: Member, late: int, by: str) -> None:
-        """By so many milliseconds, as it says or as its answer came."""
-        before, member.late = self.degree(now, member), late
-        self._shown(now, member, before, by)
-
-    def _shown(self, now: int, member: Member, before: Degree | None, by: str) -> None:
-        """Tell of a change of degree, if it was one."""
-        after = self.degree(now, member)
+            record = member.record.with_state(ReportedState.GONE, self.me.name)
+            self._set_record(now, member, record, MemberStatus.GONE)
+            self._gossip.enqueue(record.name, record)
+
+    def _note_received_from(self, now: int, member: Member, datagram: ReceivedDatagram) -> None:
+        """Records that a datagram of the member itself has arrived."""
+        member.last_received_at = now
+        self._set_lateness(now, member, datagram.lateness_ms, member.record.name)
+
+    def _set_lateness(self, now: int, member: Member, lateness_ms: int, reporter: str) -> None:
+        """Sets the lateness that the member reports, or that its late ack shows."""
+        before, member.lateness_ms = self.status_of(now, member), lateness_ms
+        self._notify_if_status_changed(now, member, before, reporter)
+
+    def _notify_if_status_changed(
+        self, now: int, member: Member, before: MemberStatus | None, reporter: str
+    ) -> None:
+        """Reports a change of the visible status, if there is one."""
+        after = self.status_of(now, member)
         if after is not before:
-            member.since, member.word = now, by
-            self._port.changed(Change(now, member.claim.name, before, after, by, member.claim.incarnation))
+            member.status_since, member.status_reporter = now, reporter
+            self._port.notify_status_change(
+                Change(now, member.record.name, before, after, reporter, member.record.incarnation)
+            )
 
-    # This member itself.
+    # Records of this member itself.
 
-    def _about_me(self, now: int, claim: Claim) -> None:
-        if claim.key <= self.me.key and claim.rank is Rank.ALIVE or claim.incarnation < self.me.incarnation:
+    def _handle_own_record(self, now: int, record: MemberRecord) -> None:
+        """Reacts to a record of this member's name: refutes it, yields the name, or ignores it."""
+        if (
+            record.precedence <= self.me.precedence
+            and record.state is ReportedState.ALIVE
+            or record.incarnation < self.me.incarnation
+        ):
             return
-        mine = claim.birth == self.me.birth
-        if self.standing is Standing.LEAVING:
+        same_run = record.run_id == self.me.run_id
+        if self.local_state is LocalState.LEAVING:
             return
-        if self._is_anothers(claim):
-            self._yield(now, claim)
+        if self._is_name_conflict(record):
+            self._yield_name(now, record)
         elif (
-            claim.rank is not Rank.ALIVE
-            and (mine or claim.rank >= Rank.GONE)
-            or (not mine and claim.address == self.me.address)
-        ):  # its port is ours: that life is over
-            self._rise(now, claim.incarnation + 1, claim)
-
-    def _is_anothers(self, claim: Claim) -> bool:
-        """Our name, held by a living process elsewhere with the better claim."""
+            record.state is not ReportedState.ALIVE
+            and (same_run or record.state >= ReportedState.GONE)
+            or (not same_run and record.address == self.me.address)
+        ):  # its address is ours: that process run has ended
+            self._raise_incarnation(now, record.incarnation + 1, record)
+
+    def _is_name_conflict(self, record: MemberRecord) -> bool:
+        """Whether a live process at another address holds our name with the higher precedence."""
         me = self.me
         return (
-            claim.name == me.name
-            and claim.birth != me.birth
-            and claim.rank < Rank.GONE
-            and claim.address != me.address
-            and claim.key > me.key
+            record.name == me.name
+            and record.run_id != me.run_id
+            and record.state < ReportedState.GONE
+            and record.address != me.address
+            and record.precedence > me.precedence
         )
 
-    def _rise(self, now: int, incarnation: int, because: Claim | None = None) -> None:
-        """Refute what is claimed, or begin a new life, with a number that nobody has used."""
+    def _raise_incarnation(self, now: int, incarnation: int, refuted: MemberRecord | None = None) -> None:
+        """Moves to an unused incarnation, to refute a record or to begin a process run."""
         me = self.me
-        self.me = msgspec.structs.replace(me, incarnation=incarnation, rank=Rank.ALIVE)
-        self._port.keep(incarnation)
-        if because and because.birth == me.birth:
-            self._slow = min(self._slow + 1, self.rules.late_most)
-            self._port.say(
-                "members.refuted", claimed=because.rank.name.lower(), by=because.by, incarnation=incarnation
+        self.me = msgspec.structs.replace(me, incarnation=incarnation, state=ReportedState.ALIVE)
+        self._port.save_incarnation(incarnation)
+        if refuted and refuted.run_id == me.run_id:
+            self._awareness = min(self._awareness + 1, self.rules.max_awareness)
+            self._port.log_event(
+                "members.refuted",
+                claimed=refuted.state.name.lower(),
+                by=refuted.reporter,
+                incarnation=incarnation,
             )
         self._table.changed_at = now
-        if self.standing is Standing.IN:
-            self._gossip.tell(me.name, self.me)
+        if self.local_state is LocalState.JOINED:
+            self._gossip.enqueue(me.name, self.me)
 
-    def _yield(self, now: int, other: Claim) -> None:
-        """Guards a name used by two processes: the one with the lower claim stays out until it is free."""
-        if self.standing is Standing.IN:
-            self._port.say(
+    def _yield_name(self, now: int, other: MemberRecord) -> None:
+        """Leaves the name to another process that uses it: the lower precedence waits until it is free."""
+        if self.local_state is LocalState.JOINED:
+            self._port.log_event(
                 "members.name-lost", other=f"{other.host}:{other.port}", incarnation=other.incarnation
             )
-        self.standing = Standing.OUT
+        self.local_state = LocalState.NOT_JOINED
         self._probe = None
-        self._gossip.forget(self.me.name)
-        self._contact_at = min(self._contact_at, now + self.rules.contact_every)
+        self._gossip.remove(self.me.name)
+        self._next_contact_at = min(self._next_contact_at, now + self.rules.contact_interval)
 
-    def _enter(self, now: int) -> None:
-        self.standing = Standing.IN
+    def _join(self, now: int) -> None:
+        """Becomes a member: begins to probe and to gossip its own record."""
+        self.local_state = LocalState.JOINED
         if self.me.incarnation == 0:
-            self._rise(now, 1)
+            self._raise_incarnation(now, 1)
         else:
-            self._gossip.tell(self.me.name, self.me)
-        self._probe_at = min(self._probe_at, now + self.rules.interval)
-        self._port.say("members.entered", incarnation=self.me.incarnation, members=len(self._ring) + 1)
+            self._gossip.enqueue(self.me.name, self.me)
+        self._next_probe_at = min(self._next_probe_at, now + self.rules.interval)
+        self._port.log_event(
+            "members.entered", incarnation=self.me.incarnation, members=len(self._active_members) + 1
+        )
 
-    # Seeds, and those held gone.
+    # Contacts and gone members.
 
-    def _contact(self, now: int) -> None:
-        """One word to one who is not among the active: how members join and cuts heal."""
-        jitter = self._chance.uniform(0.75, 1.25)
-        outside = self.standing is Standing.OUT
-        every = (
+    def _contact_inactive_members(self, now: int) -> None:
+        """Pings a contact or gone member that is not active: how members join and partitions heal."""
+        jitter = self._rng.uniform(0.75, 1.25)
+        not_joined = self.local_state is LocalState.NOT_JOINED
+        delay = (
             self.rules.interval
-            if outside and now - self._began < 10 * self.rules.interval
-            else self.rules.contact_every
+            if not_joined and now - self._started_at < 10 * self.rules.interval
+            else self.rules.contact_interval
         )
-        self._contact_at = now + round(every * jitter)
-        if self.standing is Standing.LEAVING:
+        self._next_contact_at = now + round(delay * jitter)
+        if self.local_state is LocalState.LEAVING:
             return
-        self._table.forget_before(now - self.rules.forget)
-        ways: list[Address] = [
+        self._table.remove_gone_before(now - self.rules.gone_retention)
+        addresses: list[Address] = [
             address
-            for address, active in self._table.contacts.items()
-            if (outside or not active) and address != self.me.address
+            for address, active_count in self._table.contacts.items()
+            if (not_joined or not active_count) and address != self.me.address
         ]
         gone = self._table.gone
-        if gone and (not ways or self._chance.random() < 0.5):
-            member = self._chance.choice(gone)
-            self._send(now, member.claim, Kind.PING, 0, target=member.claim.name)
-        elif ways:
-            for address in self._chance.sample(ways, len(ways) if outside and len(ways) <= 3 else 1):
+        if gone and (not addresses or self._rng.random() < 0.5):
+            member = self._rng.choice(gone)
+            self._send(now, member.record, Kind.PING, 0, target=member.record.name)
+        elif addresses:
+            for address in self._rng.sample(
+                addresses, len(addresses) if not_joined and len(addresses) <= 3 else 1
+            ):
                 self._port.send(
-                    address, self.me.low, Datagram(Kind.PING, 0, self.me, digest=self._table.digest)
+                    address, self.me.min_version, Datagram(Kind.PING, 0, self.me, digest=self._table.digest)
                 )
-        if outside and now - self._began >= 3 * self.rules.interval and self._alone_at_start(now):
-            self._enter(now)
+        if not_joined and now - self._started_at >= 3 * self.rules.interval and self._should_join_alone(now):
+            self._join(now)
 
-    def _alone_at_start(self, now: int) -> bool:
-        """Nobody answers: the first of a cluster goes in by itself; who lost its name does not."""
-        quiet = now - self._heard_at
-        return quiet >= (self.rules.doubt_most if self._ring else 3 * self.rules.interval)
+    def _should_join_alone(self, now: int) -> bool:
+        """Whether to join unanswered, as the first member of a cluster does; one that lost its name waits."""
+        silence = now - self._last_received_at
+        return silence >= (self.rules.max_isolation if self._active_members else 3 * self.rules.interval)
 
-    def _compare(self, now: int, told: Told) -> None:
-        """Views that have stood still and differ: one whole state mends what gossip lost."""
-        if not told.digest or self.standing is not Standing.IN or told.kind is Kind.NEWS:
+    def _compare_digests(self, now: int, datagram: ReceivedDatagram) -> None:
+        """Requests a full state if two unchanged views differ: it repairs what gossip has lost."""
+        if not datagram.digest or self.local_state is not LocalState.JOINED or datagram.kind is Kind.GOSSIP:
             return
-        settled = min(self._settled(now), told.settled * MILLISECOND) >= self.rules.settle
-        if told.digest != self.digest and (settled or not self._ring):
-            self._want_whole(now, told.me)
+        both_unchanged = (
+            min(self._unchanged_time(now), datagram.unchanged_ms * MILLISECOND) >= self.rules.sync_delay
+        )
+        if datagram.digest != self.digest and (both_unchanged or not self._active_members):
+            self._request_full_state(now, datagram.sender)
 
-    def _settled(self, now: int) -> int:
-        """For how long this view has stood still; not while there is something left to tell on."""
+    def _unchanged_time(self, now: int) -> int:
+        """Time since the active members last changed; 0 while updates are still to be gossiped."""
         return 0 if self._gossip else now - self._table.changed_at
 
-    def _want_whole(self, now: int, other: Claim) -> None:
-        rest = self.rules.whole_rest if self.standing is Standing.IN else self.rules.interval
-        if now - self._whole_at >= rest:
-            self._whole_at = now
-            self._port.ask_whole(other.address)
+    def _request_full_state(self, now: int, other: MemberRecord) -> None:
+        """Requests a full state from another member, unless the last request was too recent."""
+        min_interval = (
+            self.rules.min_full_state_interval
+            if self.local_state is LocalState.JOINED
+            else self.rules.interval
+        )
+        if now - self._full_state_requested_at >= min_interval:
+            self._full_state_requested_at = now
+            self._port.request_full_state(other.address)
 
-    # Words to others.
+    # Sending.
 
-    def _tell_news(self, now: int) -> None:
-        self._news_at = now + self.rules.news_every
-        if self.standing is Standing.OUT:
+    def _send_gossip(self, now: int) -> None:
+        """Sends queued updates to a few random members, within the byte budget."""
+        self._next_gossip_at = now + self.rules.gossip_interval
+        if self.local_state is LocalState.NOT_JOINED:
             self._gossip.clear()
             return
-        for member in list(self._ring.some(self.rules.news_to)):
-            if self._gossip and self._budget.left(now) >= self.rules.datagram_most:
-                self._send(now, member.claim, Kind.NEWS, 0)
-
-    def _send(self, now: int, to: Claim, kind: Kind, seq: int, **fields: object) -> None:
-        """A datagram with as much of the news as it holds."""
-        room = self.rules.datagram_most - 360  # what the rest takes at most
-        if kind is not Kind.NEWS:
-            room = max(min(room, self._budget.left(now) - ENVELOPE), URGENT_ROOM)
-        load = Load(room)
-        held = self.members.get(to.name)
-        if held and (held.claim.key > to.key or held.claim.rank is not Rank.ALIVE):
-            # Who is thought gone hears it first, and can refute it.
-            load.add_claim(encode(held.claim))
-        if self.standing is not Standing.OUT:
-            self._gossip.pack(to, self.rules.told(len(self._ring) + 1), load)
-        self._budget.spend(ENVELOPE + room - load.room)
-        settled = min(self._settled(now) // MILLISECOND, 1 << 30)
-        version = min(to.high, self.me.high)
+        for member in list(self._active_members.sample(self.rules.gossip_fanout)):
+            if self._gossip and self._budget.available_bytes(now) >= self.rules.max_datagram_bytes:
+                self._send(now, member.record, Kind.GOSSIP, 0)
+
+    def _send(self, now: int, recipient: MemberRecord, kind: Kind, seq: int, **fields: object) -> None:
+        """Sends a datagram filled up with as much gossip as its size and the byte budget allow."""
+        free_bytes = self.rules.max_datagram_bytes - 360  # the other fields take 360 bytes at most
+        if kind is not Kind.GOSSIP:
+            free_bytes = max(
+                min(free_bytes, self._budget.available_bytes(now) - DATAGRAM_OVERHEAD_BYTES), MIN_GOSSIP_BYTES
+            )
+        payload = GossipPayload(free_bytes)
+        known = self.members.get(recipient.name)
+        if known and (
+            known.record.precedence > recipient.precedence or known.record.state is not ReportedState.ALIVE
+        ):
+            # A member that is thought gone receives that record first, so that it can refute it.
+            payload.add_record(encode(known.record))
+        if self.local_state is not LocalState.NOT_JOINED:
+            self._gossip.pack(recipient, self.rules.max_transmissions(len(self._active_members) + 1), payload)
+        self._budget.spend(DATAGRAM_OVERHEAD_BYTES + free_bytes - payload.free_bytes)
+        unchanged_ms = min(self._unchanged_time(now) // MILLISECOND, 1 << 30)
+        version = min(recipient.max_version, self.me.max_version)
         self._port.send(
-            to.address,
+            recipient.address,
             version,
             Datagram(
                 kind,
                 seq,
                 self.me,
-                late=self._lateness,
-                digest=self.digest if self.standing is Standing.IN else 0,
-                settled=settled,
-                claims=tuple(load.claims),
-                cuts=tuple(load.cuts),
+                lateness_ms=self._lateness_ms,
+                digest=self.digest if self.local_state is LocalState.JOINED else 0,
+                unchanged_ms=unchanged_ms,
+                records=tuple(payload.records),
+                path_reports=tuple(payload.path_reports),
                 **fields,
             ),
         )
--- a/millweir/members/gossip.py
+++ b/millweir/members/gossip.py
@@ -1,4 +1,4 @@
-"""Updates that are told on with other datagrams, and the bytes that may be spent on them."""
+"""Queue of the updates to be gossiped, and the byte budget for sending them."""
 
 from __future__ import annotations
 
@@ -6,117 +6,128 @@
 
 import msgspec
 
-from millweir.members.messages import CUTS_SINCE, Claim, Cut, Rank, encode
+from millweir.members.messages import (
+    PATH_REPORTS_MIN_VERSION,
+    MemberRecord,
+    PathReport,
+    ReportedState,
+    encode,
+)
 from millweir.members.rules import SECOND
 
-ITEMS_MOST = 64  # of one datagram
+MAX_ITEMS_PER_DATAGRAM = 64
 
 
-class Update:
-    """One item to be told on."""
+class QueuedUpdate:
+    """An update to be gossiped, with its encoding and the number of times it was sent."""
 
-    __slots__ = ("item", "raw", "told")
+    __slots__ = ("item", "raw", "transmissions")
 
-    def __init__(self, item: Claim | Cut, raw: bytes) -> None:
+    def __init__(self, item: MemberRecord | PathReport, raw: bytes) -> None:
         self.item, self.raw = item, raw
-        self.told = 0  # times
+        self.transmissions = 0
 
 
-class Load:
-    """The updates that one datagram carries."""
+class GossipPayload:
+    """The updates that one datagram carries, and the bytes left for more."""
 
-    __slots__ = ("claims", "cuts", "room")
+    __slots__ = ("records", "path_reports", "free_bytes")
 
-    def __init__(self, room: int) -> None:
-        self.room = room  # bytes left
-        self.claims: list[msgspec.Raw] = []
-        self.cuts: list[Cut] = []
+    def __init__(self, free_bytes: int) -> None:
+        self.free_bytes = free_bytes
+        self.records: list[msgspec.Raw] = []
+        self.path_reports: list[PathReport] = []
 
     def __len__(self) -> int:
-        return len(self.claims) + len(self.cuts)
+        return len(self.records) + len(self.path_reports)
 
-    def add_claim(self, raw: bytes) -> None:
-        self.claims.append(msgspec.Raw(raw))
-        self.room -= len(raw)
+    def add_record(self, raw: bytes) -> None:
+        """Adds an encoded member record, even if it exceeds the free bytes."""
+        self.records.append(msgspec.Raw(raw))
+        self.free_bytes -= len(raw)
 
 
-Queue = OrderedDict[object, Update]
+UpdateQueue = OrderedDict[object, QueuedUpdate]
 
 
-class Gossip:
-    """What is to be told on: the living and suspected first, then the gone and paths.
+class GossipQueue:
+    """Updates waiting to be gossiped: alive and suspected members first, then gone members and paths.
 
-    Each item is told so many times; the one told least often goes first.
+    Each update is sent a limited number of times; those sent least often go first.
     """
 
-    __slots__ = ("_first", "_me", "_then")
+    __slots__ = ("_urgent", "_me", "_normal")
 
     def __init__(self, me: str) -> None:
-        """`me`: the name of the member itself; what it says of itself always goes first."""
+        """Records of the member called `me` itself are always urgent."""
         self._me = me
-        self._first: Queue = OrderedDict()
-        self._then: Queue = OrderedDict()
+        self._urgent: UpdateQueue = OrderedDict()
+        self._normal: UpdateQueue = OrderedDict()
 
     def __bool__(self) -> bool:
-        return bool(self._first or self._then)
+        return bool(self._urgent or self._normal)
 
-    def tell(self, key: object, item: Claim | Cut) -> None:
-        """Take an item in, in place of an older one of the same key."""
-        urgent = isinstance(item, Claim) and (item.rank < Rank.GONE or item.name == self._me)
-        queue, other = (self._first, self._then) if urgent else (self._then, self._first)
+    def enqueue(self, key: object, item: MemberRecord | PathReport) -> None:
+        """Adds an update; it replaces an older one with the same key."""
+        urgent = isinstance(item, MemberRecord) and (item.state < ReportedState.GONE or item.name == self._me)
+        queue, other = (self._urgent, self._normal) if urgent else (self._normal, self._urgent)
         other.pop(key, None)
-        queue[key] = Update(item, encode(item))
+        queue[key] = QueuedUpdate(item, encode(item))
         queue.move_to_end(key, last=False)
 
-    def forget(self, key: object) -> None:
-        self._first.pop(key, None)
-        self._then.pop(key, None)
+    def remove(self, key: object) -> None:
+        self._urgent.pop(key, None)
+        self._normal.pop(key, None)
 
     def clear(self) -> None:
-        self._first.clear()
-        self._then.clear()
+        self._urgent.clear()
+        self._normal.clear()
 
-    def pack(self, to: Claim, times: int, load: Load) -> None:
-        """Fill a datagram to a member; what has been told `times` is dropped."""
-        for queue in (self._first, self._then):
-            _pack(queue, to, times, load)
+    def pack(self, recipient: MemberRecord, max_transmissions: int, payload: GossipPayload) -> None:
+        """Fills a datagram to a member; updates that have been sent `max_transmissions` times are dropped."""
+        for queue in (self._urgent, self._normal):
+            _pack(queue, recipient, max_transmissions, payload)
 
 
-def _pack(queue: Queue, to: Claim, times: int, load: Load) -> None:
-    again = []
-    while queue and len(load) < ITEMS_MOST:
+def _pack(
+    queue: UpdateQueue, recipient: MemberRecord, max_transmissions: int, payload: GossipPayload
+) -> None:
+    unfinished = []
+    while queue and len(payload) < MAX_ITEMS_PER_DATAGRAM:
         key, update = next(iter(queue.items()))
         item, raw = update.item, update.raw
-        if len(raw) > load.room:
+        if len(raw) > payload.free_bytes:
             break
         del queue[key]
-        if isinstance(item, Cut):
-            if to.high >= CUTS_SINCE:
-                load.cuts.append(item)
-                load.room -= len(raw)
-        elif item.name != to.name or item.rank is not Rank.ALIVE:
-            load.add_claim(raw)
-        update.told += 1
-        if update.told < times:
-            again.append((key, update))
-    for key, update in again:
+        if isinstance(item, PathReport):
+            if recipient.max_version >= PATH_REPORTS_MIN_VERSION:
+                payload.path_reports.append(item)
+                payload.free_bytes -= len(raw)
+        elif item.name != recipient.name or item.state is not ReportedState.ALIVE:
+            payload.add_record(raw)
+        update.transmissions += 1
+        if update.transmissions < max_transmissions:
+            unfinished.append((key, update))
+    for key, update in unfinished:
         queue[key] = update
 
 
 class ByteBudget:
-    """So many bytes a second, two datagrams at once; what has to be sent may overdraw it."""
+    """Token bucket of two datagrams in size; datagrams that must be sent may overdraw it."""
 
-    __slots__ = ("_at", "_left", "_most", "_rate")
+    __slots__ = ("_updated_at", "_tokens", "_capacity", "_rate")
 
-    def __init__(self, rate: int, datagram_most: int, now: int) -> None:
-        self._rate, self._most, self._at = rate, 2 * datagram_most * SECOND, now
-        self._left = self._most  # bytes, times nanoseconds a second
+    def __init__(self, bytes_per_second: int, max_datagram_bytes: int, now: int) -> None:
+        self._rate, self._capacity, self._updated_at = bytes_per_second, 2 * max_datagram_bytes * SECOND, now
+        # In bytes times nanoseconds per second, so that all arithmetic is in integers.
+        self._tokens = self._capacity
 
-    def left(self, now: int) -> int:
-        """Bytes that may be sent now; negative while it is overdrawn."""
-        self._left = min(self._most, self._left + max(now - self._at, 0) * self._rate)
-        self._at = max(self._at, now)
-        return self._left // SECOND
+    def available_bytes(self, now: int) -> int:
+        """Bytes that may be sent now; negative while the budget is overdrawn."""
+        self._tokens = min(self._capacity, self._tokens + max(now - self._updated_at, 0) * self._rate)
+        self._updated_at = max(self._updated_at, now)
+        return self._tokens // SECOND
 
     def spend(self, size: int) -> None:
-        self._left -= size * SECOND
+        """Takes the bytes of a datagram from the budget, which may become negative."""
+        self._tokens -= size * SECOND
--- a/millweir/members/links.py
+++ b/millweir/members/links.py
@@ -1,4 +1,4 @@
-"""Datagrams and whole states on sockets; everything that comes is bounded before it is looked at."""
+"""UDP and TCP transport of datagrams and full states; rates and sizes are limited before any decoding."""
 
 from __future__ import annotations
 
@@ -10,61 +10,79 @@
 
 import msgspec
 
-from millweir.members.messages import Datagram, Told, Whole, encode, read_datagram, read_whole
+from millweir.members.messages import (
+    Datagram,
+    FullState,
+    ReceivedDatagram,
+    decode_datagram,
+    decode_full_state,
+    encode,
+)
 from millweir.members.rules import Address
-from millweir.members.seal import Refused, Seal
+from millweir.members.seal import Authenticator, RejectedError
 
 SECOND = 1_000_000_000
-STREAMS_MOST = 16  # whole states under way at once, each way
-STREAM_TIME = 3.0  # seconds for one
-WHOLE_EACH = 320  # bytes of a claim at the most
-REFUSED_MOST = 256  # peers whose refusal was said once
+MAX_STREAMS = 16  # concurrent full state exchanges, in each direction
+STREAM_TIMEOUT_SECONDS = 3.0  # for one full state exchange
+MAX_RECORD_BYTES = 320  # of one encoded member record
+MAX_LOGGED_REJECTIONS = 256  # pairs of reason and peer, each logged once
 
 
-class Bucket:
-    """So many bytes a second, and at most a second's worth at once."""
+class TokenBucket:
+    """Limits bytes per second, with a burst of at most one second's worth."""
 
-    __slots__ = ("_at", "_left", "_rate")
+    __slots__ = ("_updated_at", "_tokens", "_rate")
 
-    def __init__(self, rate: int) -> None:
-        self._rate, self._left, self._at = rate, float(rate), time.monotonic()
+    def __init__(self, bytes_per_second: int) -> None:
+        self._rate, self._tokens, self._updated_at = (
+            bytes_per_second,
+            float(bytes_per_second),
+            time.monotonic(),
+        )
 
     def take(self, size: int) -> bool:
+        """Takes `size` bytes if that many are available now; else takes nothing and returns False."""
         now = time.monotonic()
-        self._left = min(self._rate, self._left + (now - self._at) * self._rate)
-        self._at = now
-        if self._left < size:
+        self._tokens = min(self._rate, self._tokens + (now - self._updated_at) * self._rate)
+        self._updated_at = now
+        if self._tokens < size:
             return False
-        self._left -= size
+        self._tokens -= size
         return True
 
 
-class Links(asyncio.DatagramProtocol):
-    """One UDP socket and one listener on the same address."""
+class MemberTransport(asyncio.DatagramProtocol):
+    """A UDP socket for datagrams and a TCP listener for full states, on the same address."""
 
     def __init__(
         self,
-        seal: Seal,
+        authenticator: Authenticator,
         via: dict[Address, Address],
-        members_most: int,
-        bytes_most: int,
-        heard: Callable[[Told], None],
-        whole_told: Callable[[Whole], None],
-        whole: Callable[[int], Whole],
-        refused: Callable[[str, str], None],
+        max_members: int,
+        bytes_per_second: int,
+        receive_datagram: Callable[[ReceivedDatagram], None],
+        receive_full_state: Callable[[FullState], None],
+        build_full_state: Callable[[int], FullState],
+        log_rejection: Callable[[str, str], None],
     ) -> None:
-        self._seal, self._via = seal, via
-        self._heard, self._whole_told, self._whole, self._refused = heard, whole_told, whole, refused
-        self._most = members_most * WHOLE_EACH + 65536
-        self._out, self._in = Bucket(bytes_most), Bucket(bytes_most)
+        self._authenticator, self._via = authenticator, via
+        self._receive_datagram, self._receive_full_state, self._build_full_state, self._log_rejection = (
+            receive_datagram,
+            receive_full_state,
+            build_full_state,
+            log_rejection,
+        )
+        self._max_full_state_bytes = max_members * MAX_RECORD_BYTES + 65536
+        self._send_limit, self._receive_limit = TokenBucket(bytes_per_second), TokenBucket(bytes_per_second)
         self._transport: asyncio.DatagramTransport | None = None
         self._server: asyncio.Server | None = None
         self._tasks: set[asyncio.Task[None]] = set()
         self._serving = 0
-        self._said: set[tuple[str, str]] = set()
+        self._logged_rejections: set[tuple[str, str]] = set()
         self.counts: Counter[str] = Counter()
 
     async def open(self, address: Address) -> None:
+        """Binds both sockets; raises OSError if the address is in use."""
         loop = asyncio.get_running_loop()
         self._transport, _ = await loop.create_datagram_endpoint(lambda: self, local_addr=address)
         self._server = await asyncio.start_server(self._serve, *address, backlog=64)
@@ -80,116 +98,125 @@
     # Datagrams.
 
     def send(self, to: Address, version: int, datagram: Datagram) -> None:
-        raw = self._seal.sign(version, encode(datagram))
-        if not self._out.take(len(raw)):
+        """Sends a datagram; drops and counts it if the byte rate is exceeded or the address is unusable."""
+        raw = self._authenticator.sign(version, encode(datagram))
+        if not self._send_limit.take(len(raw)):
             self.counts["unsent"] += 1
             return
         self.counts["sent"] += 1
         self.counts["sent_bytes"] += len(raw)
         try:
             self._transport.sendto(raw, self._via.get(to, to))
-        except (OSError, ValueError):  # no route, or an address that is none
+        except (OSError, ValueError):  # no route, or an invalid address
             self.counts["unsendable"] += 1
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
         self.counts["received"] += 1
         self.counts["received_bytes"] += len(data)
-        if not self._in.take(len(data) + 64):
+        if not self._receive_limit.take(len(data) + 64):
             self.counts["refused_flood"] += 1
             return
         try:
-            _, birth, body = self._seal.open(data)
-            told = self._read(read_datagram, birth, body)
-        except Refused as refused:
-            self._no(refused.reason, addr)
+            _, run_id, body = self._authenticator.verify(data)
+            datagram = self._decode(decode_datagram, run_id, body)
+        except RejectedError as rejection:
+            self._count_rejection(rejection.reason, addr)
             return
-        self._heard(told)
+        self._receive_datagram(datagram)
 
     def error_received(self, exc: Exception) -> None:
         self.counts["socket_errors"] += 1
 
-    def _read(self, read: Callable[[bytes], Told | Whole], birth: int, body: bytes) -> Told | Whole:
+    def _decode(
+        self, decoder: Callable[[bytes], ReceivedDatagram | FullState], run_id: int, body: bytes
+    ) -> ReceivedDatagram | FullState:
         try:
-            told = read(body)
-        except (msgspec.DecodeError, UnicodeDecodeError, OverflowError, RecursionError) as fault:
-            raise Refused("garbled") from fault
-        if told.me.birth != birth or not told.me.usable():
-            raise Refused("garbled")
-        return told
-
-    def _no(self, reason: str, addr: Address) -> None:
-        """A count, and one line a peer and reason."""
+            message = decoder(body)
+        except (msgspec.DecodeError, UnicodeDecodeError, OverflowError, RecursionError) as error:
+            raise RejectedError("garbled") from error
+        if message.sender.run_id != run_id or not message.sender.is_valid():
+            raise RejectedError("garbled")
+        return message
+
+    def _count_rejection(self, reason: str, addr: Address) -> None:
+        """Counts a rejected message and logs it once per reason and peer, except for replays."""
         self.counts[f"refused_{reason}"] += 1
         key = reason, addr[0]
-        if key not in self._said and len(self._said) < REFUSED_MOST and reason != "replay":
-            self._said.add(key)
-            self._refused(reason, addr[0])
-
-    # Whole states.
-
-    def ask_whole(self, to: Address) -> None:
-        if len(self._tasks) < STREAMS_MOST:
-            task = asyncio.get_running_loop().create_task(self._ask(self._via.get(to, to)))
+        if (
+            key not in self._logged_rejections
+            and len(self._logged_rejections) < MAX_LOGGED_REJECTIONS
+            and reason != "replay"
+        ):
+            self._logged_rejections.add(key)
+            self._log_rejection(reason, addr[0])
+
+    # Full states.
+
+    def request_full_state(self, to: Address) -> None:
+        """Starts an exchange of full states in the background; ignored while too many are running."""
+        if len(self._tasks) < MAX_STREAMS:
+            task = asyncio.get_running_loop().create_task(self._fetch_full_state(self._via.get(to, to)))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    async def _ask(self, to: Address) -> None:
+    async def _fetch_full_state(self, to: Address) -> None:
         writer = None
         try:
-            async with asyncio.timeout(STREAM_TIME):
+            async with asyncio.timeout(STREAM_TIMEOUT_SECONDS):
                 reader, writer = await asyncio.open_connection(*to)
-                await self._write(writer, 1)
-                self._whole_told(await self._take(reader))
+                await self._write_full_state(writer, 1)
+                self._receive_full_state(await self._read_full_state(reader))
             self.counts["wholes_asked"] += 1
-        except (OSError, TimeoutError, EOFError, Refused) as fault:
+        except (OSError, TimeoutError, EOFError, RejectedError) as error:
             self.counts["wholes_failed"] += 1
-            if isinstance(fault, Refused):
-                self._no(fault.reason, to)
+            if isinstance(error, RejectedError):
+                self._count_rejection(error.reason, to)
         finally:
             if writer:
                 writer.close()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Answers a full state with this member's own."""
         peer = writer.get_extra_info("peername") or ("", 0)
         try:
-            if self._serving >= STREAMS_MOST:
+            if self._serving >= MAX_STREAMS:
                 self.counts["refused_streams"] += 1
                 return
             self._serving += 1
             try:
-                async with asyncio.timeout(STREAM_TIME):
-                    whole = await self._take(reader)
-                    await self._write(writer, whole.me.high)
-                self._whole_told(whole)
+                async with asyncio.timeout(STREAM_TIMEOUT_SECONDS):
+                    full_state = await self._read_full_state(reader)
+                    await self._write_full_state(writer, full_state.sender.max_version)
+                self._receive_full_state(full_state)
                 self.counts["wholes_answered"] += 1
             finally:
                 self._serving -= 1
         except (OSError, TimeoutError, EOFError):
             self.counts["wholes_failed"] += 1
-        except Refused as refused:
-            self._no(refused.reason, peer)
+        except RejectedError as rejection:
+            self._count_rejection(rejection.reason, peer)
         finally:
             with contextlib.suppress(RuntimeError):
                 writer.close()
 
-    async def _write(self, writer: asyncio.StreamWriter, high: int) -> None:
-        writer.write(self._encode_whole(high))
+    async def _write_full_state(self, writer: asyncio.StreamWriter, max_version: int) -> None:
+        writer.write(self._encode_full_state(max_version))
         await writer.drain()
 
-    async def _take(self, reader: asyncio.StreamReader) -> Whole:
+    async def _read_full_state(self, reader: asyncio.StreamReader) -> FullState:
         size = int.from_bytes(await reader.readexactly(4))
-        if size > self._most:
-            raise Refused("garbled")
-        return self._decode_whole(await reader.readexactly(size))
+        if size > self._max_full_state_bytes:
+            raise RejectedError("garbled")
+        return self._decode_full_state(await reader.readexactly(size))
 
-    def _encode_whole(self, high: int) -> bytes:
-        """This member's full state as it goes onto a stream: sealed, its length in front."""
-        raw = self._seal.sign(1, encode(self._whole(high)))
+    def _encode_full_state(self, max_version: int) -> bytes:
+        """Returns this member's full state as it is sent on a stream: signed, and preceded by its length."""
+        raw = self._authenticator.sign(1, encode(self._build_full_state(max_version)))
         self.counts["whole_bytes_sent"] += 4 + len(raw)
         return len(raw).to_bytes(4) + raw
 
-    def _decode_whole(self, raw: bytes) -> Whole:
-        """Another member's full state; Refused where it is not for us."""
+    def _decode_full_state(self, raw: bytes) -> FullState:
+        """Decodes another member's full state; raises RejectedError if this member must not accept it."""
         self.counts["whole_bytes_received"] += 4 + len(raw)
-        _, birth, body = self._seal.open(raw)
-        return self._read(read_whole, birth, body)
+        _, run_id, body = self._authenticator.verify(raw)
+        return self._decode(decode_full_state, run_id, body)
--- a/millweir/members/messages.py
+++ b/millweir/members/messages.py
@@ -1,7 +1,8 @@
-"""What members tell each other, as MessagePack arrays; new fields go to the end and have a default.
+"""Messages between members, encoded as MessagePack arrays.
 
-Version 1 is all below but `cuts`; version 2 adds them.  A member speaks to another in the highest version
-that both know, to a stranger in the lowest that it knows itself.
+New fields are appended and have a default.  Version 1 has everything except `path_reports`, which version 2
+adds.  A member uses the highest version that both sides support, and its own lowest version towards a member
+that it does not know.
 """
 
 from __future__ import annotations
@@ -12,129 +13,131 @@
 
 import msgspec
 
-VERSIONS = (1, 2)  # lowest and highest spoken by this program
-CUTS_SINCE = 2
-NAME_MOST = 64  # bytes of a name, an address or a place
+PROTOCOL_VERSIONS = (1, 2)  # lowest and highest supported
+PATH_REPORTS_MIN_VERSION = 2
+MAX_NAME_BYTES = 64  # of a name, an address or a place
 
 
-class Rank(IntEnum):
-    """What is claimed of a member; at one incarnation the higher claim wins."""
+class ReportedState(IntEnum):
+    """State of a member that a record reports; within one incarnation the higher value wins."""
 
     ALIVE = 0
     SUSPECTED = 1
     GONE = 2
-    LEFT = 3  # by its own word
+    LEFT = 3  # only the member itself reports it
 
 
 class Kind(IntEnum):
-    """What a datagram is for."""
+    """Purpose of a datagram."""
 
     PING = 0
     ACK = 1
-    ASK = 2  # probe the target for me
-    NACK = 3  # asked, but the target has not answered me either
-    NEWS = 4
+    PING_REQ = 2  # asks the recipient to ping the target
+    NACK = 3  # answers a ping-req: the target has not answered in time
+    GOSSIP = 4
 
 
-class Claim(msgspec.Struct, array_like=True, frozen=True):
-    """What is said of one life of a member."""
+class MemberRecord(msgspec.Struct, array_like=True, frozen=True):
+    """What a member knows and gossips about one process run of a member."""
 
     name: str
-    birth: int  # drawn by each process at its start, to tell two under one name apart
-    incarnation: int  # only the member itself raises it
-    rank: Rank
+    run_id: int  # random for each process run; distinguishes two processes of one name
+    incarnation: int  # raised by the member itself only
+    state: ReportedState
     host: str
     port: int
-    by: str  # whose word it is
-    low: int = 1  # versions that it speaks
-    high: int = 1
-    place: str = ""  # building and machine, as its operator wrote it
+    reporter: str  # name of the member that reports this state
+    min_version: int = 1  # protocol versions that the member supports
+    max_version: int = 1
+    place: str = ""  # building and machine, from the operator's file
 
     @property
-    def key(self) -> tuple[int, int, int]:
-        """Claims on one name are ordered by this; the greatest holds."""
-        return self.incarnation, self.rank, self.birth
+    def precedence(self) -> tuple[int, int, int]:
+        """Sort key of the records of one name; the record with the greatest key is in force."""
+        return self.incarnation, self.state, self.run_id
 
     @property
     def address(self) -> tuple[str, int]:
         return self.host, self.port
 
-    def ranked(self, rank: Rank, by: str) -> Claim:
-        return Claim(
+    def with_state(self, state: ReportedState, reporter: str) -> MemberRecord:
+        """Returns a copy of this record with another state, as reported by `reporter`."""
+        return MemberRecord(
             self.name,
-            self.birth,
+            self.run_id,
             self.incarnation,
-            rank,
+            state,
             self.host,
             self.port,
-            by,
-            self.low,
-            self.high,
+            reporter,
+            self.min_version,
+            self.max_version,
             self.place,
         )
 
-    def usable(self) -> bool:
-        """Within bounds; what is not is never taken in."""
-        texts = (self.name, self.host, self.by, self.place)
+    def is_valid(self) -> bool:
+        """Whether all fields are within bounds; other records are ignored."""
+        texts = (self.name, self.host, self.reporter, self.place)
         return (
-            all(len(text.encode()) <= NAME_MOST for text in texts)
+            all(len(text.encode()) <= MAX_NAME_BYTES for text in texts)
             and bool(self.name and self.host)
             and 0 < self.port < 65536
             and 0 <= self.incarnation < 1 << 62
-            and 0 <= self.birth < 1 << 63
-            and 0 < self.low <= self.high < 256
+            and 0 <= self.run_id < 1 << 63
+            and 0 < self.min_version <= self.max_version < 256
         )
 
 
-class Cut(msgspec.Struct, array_like=True, frozen=True):
-    """A path between two members that is down or up again, by the word of one of them."""
+class PathReport(msgspec.Struct, array_like=True, frozen=True):
+    """Report by one end of a path between two members that the path is down, or up again."""
 
     start: str
     end: str
-    by: str
-    number: int  # only the one who says it raises it
+    reporter: str
+    sequence: int  # raised by the reporter only
     down: bool
 
 
 class Datagram(msgspec.Struct, array_like=True, frozen=True):
-    """One datagram."""
+    """A datagram as it is sent."""
 
     kind: Kind
-    seq: int  # the probe's, drawn by who began it
-    me: Claim  # the sender of itself
-    target: str = ""  # PING: who is meant; ASK: whom to probe; ACK and NACK: of whom it tells
-    host: str = ""  # ASK: where the target is
+    seq: int  # of the probe; drawn by the member that started it
+    sender: MemberRecord  # the sender's own record
+    target: str = ""  # PING: the intended recipient; PING_REQ: whom to ping; ACK, NACK: whom it is about
+    host: str = ""  # PING_REQ: address of the target
     port: int = 0
-    asker: str = ""  # PING: on whose behalf; ACK: passed back
-    heard: int = -1  # ACK: ms since its target last heard the asker itself, -1 never
-    late: int = 0  # ms by which the sender's turns ran late of late
-    digest: int = 0  # of all whom the sender holds for alive
-    settled: int = 0  # ms since that changed
-    claims: tuple[msgspec.Raw | Claim, ...] = ()
-    cuts: tuple[Cut, ...] = ()
+    requester: str = ""  # PING: on whose behalf, if not the sender's; ACK: returned from the ping
+    # ACK: milliseconds since the target last received a datagram from the requester itself; -1 if never.
+    requester_last_seen_ms: int = -1
+    lateness_ms: int = 0  # by which the sender's timer recently fired late
+    digest: int = 0  # of the active members in the sender's view
+    unchanged_ms: int = 0  # time since that digest changed
+    records: tuple[msgspec.Raw | MemberRecord, ...] = ()
+    path_reports: tuple[PathReport, ...] = ()
 
 
-class Told(Datagram, array_like=True, frozen=True):
-    """A datagram as it is read."""
+class ReceivedDatagram(Datagram, array_like=True, frozen=True):
+    """A datagram as it is decoded."""
 
-    claims: tuple[Claim, ...] = ()
+    records: tuple[MemberRecord, ...] = ()
 
 
-class Whole(msgspec.Struct, array_like=True, frozen=True):
-    """All that a member holds, over TCP."""
+class FullState(msgspec.Struct, array_like=True, frozen=True):
+    """The whole member table of a member, sent over TCP."""
 
-    me: Claim
-    claims: tuple[Claim, ...]
-    cuts: tuple[Cut, ...] = ()
+    sender: MemberRecord
+    records: tuple[MemberRecord, ...]
+    path_reports: tuple[PathReport, ...] = ()
 
 
 encode = msgspec.msgpack.Encoder().encode
-read_datagram = msgspec.msgpack.Decoder(Told).decode
-read_whole = msgspec.msgpack.Decoder(Whole).decode
+decode_datagram = msgspec.msgpack.Decoder(ReceivedDatagram).decode
+decode_full_state = msgspec.msgpack.Decoder(FullState).decode
 
 
 @lru_cache(maxsize=1 << 16)
-def mark(name: str, incarnation: int, birth: int) -> int:
-    """A claim's part of a digest: 63 bits, the same in every process."""
-    text = f"{name}\0{incarnation}\0{birth}".encode()
+def mark(name: str, incarnation: int, run_id: int) -> int:
+    """Returns the contribution of a record to a digest: 63 bits, the same in every process."""
+    text = f"{name}\0{incarnation}\0{run_id}".encode()
     return int.from_bytes(blake2b(text, digest_size=8).digest()) >> 1
--- a/millweir/members/part.py
+++ b/millweir/members/part.py
@@ -1,4 +1,4 @@
-"""The part that the relay starts: core, links, folder, events and the local socket, wired up."""
+"""The membership component of a relay: core, transport, state file, events and local socket."""
 
 from __future__ import annotations
 
@@ -15,80 +15,87 @@
 
 from millweir.members.core import Core
 from millweir.members.events import KINDS
-from millweir.members.links import Links
-from millweir.members.messages import VERSIONS, Claim, Datagram, Rank, Told, Whole
+from millweir.members.links import MemberTransport
+from millweir.members.messages import (
+    PROTOCOL_VERSIONS,
+    Datagram,
+    FullState,
+    MemberRecord,
+    ReceivedDatagram,
+    ReportedState,
+)
 from millweir.members.rules import Address
-from millweir.members.seal import Seal
+from millweir.members.seal import Authenticator
 from millweir.members.section import Members
-from millweir.members.view import Change, Degree, Standing
+from millweir.members.view import Change, LocalState, MemberStatus
 from millweir.operator.events import EventLog
 from millweir.operator.units import address
 
-FILE_NAME = "members.json"
-SAVE_EVERY = 10.0  # seconds between looks whether the others' addresses have changed
-LEAVE_TIME = 0.4  # seconds in which a leave is told
-CALL_MOST = 4096  # bytes of a call on the local socket
-CALLERS_MOST = 16
-WATCH_MOST = 1 << 20  # bytes that a watcher may be behind
-REMEMBERED = 64  # addresses kept for a restart
+STATE_FILE = "members.json"
+SAVE_INTERVAL_SECONDS = 10.0  # between checks whether the contacts to be saved have changed
+LEAVE_SECONDS = 0.4  # time given to the gossip of a leave before the sockets are closed
+MAX_REQUEST_BYTES = 4096  # on the local socket
+MAX_CLIENTS = 16  # concurrent connections to the local socket
+MAX_WATCH_BACKLOG_BYTES = 1 << 20  # unread events after which a watcher is disconnected
+MAX_SAVED_CONTACTS = 64  # addresses to contact after a restart
 
 now = time.monotonic_ns
 
 
-class Kept(msgspec.Struct):
-    """What outlasts the process."""
+class PersistedState(msgspec.Struct):
+    """Content of the state file, which outlasts the process."""
 
     name: str
     incarnation: int
     contacts: list[tuple[str, int]] = []
 
 
-class Row(msgspec.Struct, frozen=True):
-    """One member as this one sees it."""
+class MemberRow(msgspec.Struct, frozen=True):
+    """One member in the JSON view."""
 
     name: str
-    degree: str
-    since: float  # seconds
-    by: str
+    degree: str  # value of a MemberStatus
+    since: float  # seconds since the status changed
+    by: str  # reporter of that change
     incarnation: int
     address: str
     place: str
     versions: tuple[int, int]
-    heard: float | None  # seconds since its own last word
-    paths: tuple[str, ...] = ()  # cut, as "a->b by c"
+    heard: float | None  # seconds since its own last datagram; None if there was none
+    paths: tuple[str, ...] = ()  # that are down, as "a->b by c", where c is the reporter
 
 
-class View(msgspec.Struct, frozen=True):
-    """All that this member holds."""
+class MembershipView(msgspec.Struct, frozen=True):
+    """The local view of the membership, as JSON for operators."""
 
     name: str
-    standing: str
-    doubt: str
-    slow: int
+    standing: str  # value of a LocalState
+    doubt: str  # see Core.diagnose_local_health
+    slow: int  # awareness score
     late_ms: int
     incarnation: int
     counts: dict[str, int]
-    members: tuple[Row, ...]
+    members: tuple[MemberRow, ...]
 
 
 class Part:
-    """Membership of one relay; also the core's port."""
+    """Membership of one relay; implements the core's port."""
 
     def __init__(self, section: Members, name: str, folder: Path) -> None:
         self._section, self._folder = section, folder
         self._name = section.name or name
         if not self._name:
             raise ValueError("members: neither the relay nor [members] has a name")
-        birth = secrets.randbits(62)
-        versions = VERSIONS[0], section.protocol
+        run_id = secrets.randbits(62)
+        versions = PROTOCOL_VERSIONS[0], section.protocol
         host, port = address(section.advertise or section.listen)
         self.events = EventLog(KINDS)
-        self._kept = self._read_kept()
-        claim = Claim(
+        self._persisted = self._load_state()
+        record = MemberRecord(
             self._name,
-            birth,
-            self._kept.incarnation,
-            Rank.ALIVE,
+            run_id,
+            self._persisted.incarnation,
+            ReportedState.ALIVE,
             host,
             port,
             self._name,
@@ -96,36 +103,38 @@
             section.place,
         )
         via = {address(start): address(end) for start, end in section.via.items()}
-        self._links = Links(
-            Seal(section.cluster, section.keys(), birth, versions),
+        self._transport = MemberTransport(
+            Authenticator(section.cluster, section.keys(), run_id, versions),
             via,
             section.members_most,
             section.bytes_most,
-            self._heard,
-            self._whole_told,
-            self._whole,
-            self._refused,
+            self._receive_datagram,
+            self._receive_full_state,
+            self._build_full_state,
+            self._log_rejection,
         )
         contacts = [address(seed) for seed in section.seeds]
-        contacts += [tuple(contact) for contact in self._kept.contacts]
+        contacts += [tuple(contact) for contact in self._persisted.contacts]
         self._loop: asyncio.AbstractEventLoop | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._callers: set[asyncio.Task[None]] = set()
+        self._clients: set[asyncio.Task[None]] = set()
         self._server: asyncio.Server | None = None
-        self._claim, self._contacts = claim, contacts
+        self._record, self._contacts = record, contacts
         self.core: Core | None = None
         self._left_at = 0
         self.socket = Path(section.socket) if section.socket else folder / "members.sock"
 
     async def start(self) -> None:
-        """Bind and begin; OSError where an address is taken."""
+        """Binds the sockets and starts the protocol; raises OSError if an address is in use."""
         self._loop = asyncio.get_running_loop()
-        await self._links.open(address(self._section.listen))
+        await self._transport.open(address(self._section.listen))
         with contextlib.suppress(FileNotFoundError):
             self.socket.unlink()
         mask = os.umask(0o177)
         try:
-            self._server = await asyncio.start_unix_server(self._called, str(self.socket), limit=CALL_MOST)
+            self._server = await asyncio.start_unix_server(
+                self._handle_request, str(self.socket), limit=MAX_REQUEST_BYTES
+            )
         finally:
             os.umask(mask)
         self.core = Core(
@@ -133,189 +142,196 @@
             self._section.rules(),
             random.Random(secrets.randbits(62)),
             now(),
-            self._claim,
+            self._record,
             self._contacts,
         )
         self.core.time_passed(now())
-        self._save_later()
+        self._save_contacts()
 
     def leave(self) -> None:
-        """Told to go: say so at once; `stop` waits for it."""
-        if self.core and self.core.standing is not Standing.LEAVING:
+        """Announces the leave at once; `stop` waits until it has been gossiped."""
+        if self.core and self.core.local_state is not LocalState.LEAVING:
             self.core.leave(now())
             self._left_at = now()
-            self.events.emit("members.left", told=self.core.alive)
+            self.events.emit("members.left", told=self.core.active_count)
 
     async def stop(self) -> None:
+        """Leaves, saves the state and closes all sockets."""
         if self.core:
             self.leave()
-            await asyncio.sleep(max(LEAVE_TIME - (now() - self._left_at) / 1e9, 0))
-        self._save()
+            await asyncio.sleep(max(LEAVE_SECONDS - (now() - self._left_at) / 1e9, 0))
+        self._save_state()
         if self._timer:
             self._timer.cancel()
-        self._links.close()
+        self._transport.close()
         if self._server:
             self._server.close()
-        for task in self._callers:
+        for task in self._clients:
             task.cancel()
         with contextlib.suppress(FileNotFoundError):
             self.socket.unlink()
 
-    # The core's port.
+    # Implementation of `Port`.
 
     def send(self, to: Address, version: int, datagram: Datagram) -> None:
-        self._links.send(to, version, datagram)
+        self._transport.send(to, version, datagram)
 
-    def ask_whole(self, to: Address) -> None:
-        self._links.ask_whole(to)
+    def request_full_state(self, to: Address) -> None:
+        self._transport.request_full_state(to)
 
-    def wake(self, at: int) -> None:
+    def set_timer(self, at: int) -> None:
         if self._timer:
             self._timer.cancel()
-        self._timer = self._loop.call_later(max(at - now(), 0) / 1e9, self._woken)
+        self._timer = self._loop.call_later(max(at - now(), 0) / 1e9, self._handle_timer)
 
-    def changed(self, change: Change) -> None:
+    def notify_status_change(self, change: Change) -> None:
         self.events.emit(
             "members.changed",
             name=change.name,
             before=change.before and change.before.value,
             after=change.after.value,
-            by=change.by,
+            by=change.reporter,
             incarnation=change.incarnation,
         )
 
-    def keep(self, incarnation: int) -> None:
-        self._kept.incarnation = incarnation
-        self._save()
+    def save_incarnation(self, incarnation: int) -> None:
+        self._persisted.incarnation = incarnation
+        self._save_state()
 
-    def say(self, event: str, **fields: Any) -> None:
+    def log_event(self, event: str, **fields: Any) -> None:
         self.events.emit(event, **fields)
 
-    # What the links tell.
+    # Callbacks of the timer and the transport.
 
-    def _woken(self) -> None:
+    def _handle_timer(self) -> None:
         self._timer = None
         self.core.time_passed(now())
 
-    def _heard(self, told: Told) -> None:
-        if self.core:  # not before it is all there
-            self.core.heard(now(), told)
+    def _receive_datagram(self, datagram: ReceivedDatagram) -> None:
+        if self.core:  # the transport may receive before the core is created
+            self.core.receive_datagram(now(), datagram)
 
-    def _whole_told(self, whole: Whole) -> None:
+    def _receive_full_state(self, full_state: FullState) -> None:
         if self.core:
-            self.core.whole_told(now(), whole)
+            self.core.receive_full_state(now(), full_state)
 
-    def _whole(self, high: int) -> Whole:
-        return self.core.whole(high)
+    def _build_full_state(self, max_version: int) -> FullState:
+        return self.core.build_full_state(max_version)
 
-    def _refused(self, reason: str, peer: str) -> None:
+    def _log_rejection(self, reason: str, peer: str) -> None:
         self.events.emit("members.refused", reason=reason, peer=peer)
 
-    # The folder.
+    # State file.
+
+    def _load_state(self) -> PersistedState:
+        """Reads the state of an earlier process run; an unreadable file counts as none.
 
-    def _read_kept(self) -> Kept:
-        """From an earlier life; one that can't be read is as none: the others know the incarnation."""
+        Nothing is lost by that: the other members know the incarnation.
+        """
         try:
-            kept = msgspec.json.decode((self._folder / FILE_NAME).read_bytes(), type=Kept)
-            if kept.name == self._name and 0 <= kept.incarnation < 1 << 62:
-                return kept
+            state = msgspec.json.decode((self._folder / STATE_FILE).read_bytes(), type=PersistedState)
+            if state.name == self._name and 0 <= state.incarnation < 1 << 62:
+                return state
         except FileNotFoundError:
             pass
-        except (OSError, msgspec.DecodeError) as fault:
-            self.events.emit("members.folder-failed", fault=str(fault)[:200])
-        return Kept(self._name, 0)
+        except (OSError, msgspec.DecodeError) as error:
+            self.events.emit("members.folder-failed", fault=str(error)[:200])
+        return PersistedState(self._name, 0)
 
-    def _save(self) -> None:
-        path = self._folder / FILE_NAME
-        fresh = path.with_suffix(".new")
+    def _save_state(self) -> None:
+        path = self._folder / STATE_FILE
+        new_path = path.with_suffix(".new")
         try:
-            fresh.write_bytes(msgspec.json.encode(self._kept))
-            fresh.replace(path)
-        except OSError as fault:
-            self.events.emit("members.folder-failed", fault=str(fault)[:200])
-
-    def _save_later(self) -> None:
-        contacts = self.core.some_contacts(REMEMBERED)
-        if set(contacts) - {tuple(contact) for contact in self._kept.contacts} and contacts:
-            self._kept.contacts = contacts
-            self._save()
-        self._loop.call_later(SAVE_EVERY, self._save_later)
-
-    # The local socket: one line of JSON a call.
-
-    async def _called(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            new_path.write_bytes(msgspec.json.encode(self._persisted))
+            new_path.replace(path)
+        except OSError as error:
+            self.events.emit("members.folder-failed", fault=str(error)[:200])
+
+    def _save_contacts(self) -> None:
+        """Saves the contacts if there are new ones, and schedules the next check."""
+        contacts = self.core.list_contacts(MAX_SAVED_CONTACTS)
+        if set(contacts) - {tuple(contact) for contact in self._persisted.contacts} and contacts:
+            self._persisted.contacts = contacts
+            self._save_state()
+        self._loop.call_later(SAVE_INTERVAL_SECONDS, self._save_contacts)
+
+    # Local socket: each connection sends one request, a line of JSON.
+
+    async def _handle_request(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
         try:
-            if len(self._callers) >= CALLERS_MOST:
-                writer.write(b'{"fault":"too many callers"}\n')
+            if len(self._clients) >= MAX_CLIENTS:
+                writer.write(b'{"fault":"too many clients"}\n')
                 return
-            self._callers.add(task)
+            self._clients.add(task)
             async with asyncio.timeout(2):
-                call = msgspec.json.decode(await reader.readline(), type=dict[str, str])
-            what = call.get("do")
-            if what == "view":
-                writer.write(msgspec.json.encode(self.view()) + b"\n")
-            elif what == "leave":
+                request = msgspec.json.decode(await reader.readline(), type=dict[str, str])
+            command = request.get("do")
+            if command == "view":
+                writer.write(msgspec.json.encode(self.build_view()) + b"\n")
+            elif command == "leave":
                 self.leave()
                 writer.write(b'{"done":"leave"}\n')
-            elif what == "watch":
-                await self._watch(reader, writer)
+            elif command == "watch":
+                await self._stream_events(reader, writer)
             else:
-                writer.write(b'{"fault":"no such call"}\n')
+                writer.write(b'{"fault":"unknown request"}\n')
             await writer.drain()
         except (OSError, TimeoutError, ValueError, msgspec.DecodeError):
-            writer.write(b'{"fault":"no call"}\n')
+            writer.write(b'{"fault":"invalid request"}\n')
         finally:
-            self._callers.discard(task)
+            self._clients.discard(task)
             writer.close()
 
-    async def _watch(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Events from now on until the caller goes; one that doesn't read is let go."""
+    async def _stream_events(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Streams events until the client disconnects; a client that does not read is disconnected."""
 
-        def tell(line: bytes) -> None:
-            if writer.transport.get_write_buffer_size() > WATCH_MOST:
+        def forward(line: bytes) -> None:
+            if writer.transport.get_write_buffer_size() > MAX_WATCH_BACKLOG_BYTES:
                 writer.transport.abort()
             else:
                 writer.write(line)
 
-        self.events.watchers.add(tell)
+        self.events.watchers.add(forward)
         try:
-            while await reader.read(CALL_MOST):
+            while await reader.read(MAX_REQUEST_BYTES):
                 pass
         finally:
-            self.events.watchers.discard(tell)
+            self.events.watchers.discard(forward)
 
-    def view(self) -> View:
+    def build_view(self) -> MembershipView:
         at, core = now(), self.core
         paths: dict[str, list[str]] = {}
-        for cut in core.cuts.values():
-            if cut.down:
-                for name in (cut.start, cut.end):
-                    paths.setdefault(name, []).append(f"{cut.start}->{cut.end} by {cut.by}")
+        for report in core.path_reports.values():
+            if report.down:
+                for name in (report.start, report.end):
+                    paths.setdefault(name, []).append(f"{report.start}->{report.end} by {report.reporter}")
         rows = []
         for name, member in sorted(core.members.items()):
-            claim, degree = member.claim, core.degree(at, member)
+            record, status = member.record, core.status_of(at, member)
             rows.append(
-                Row(
+                MemberRow(
                     name,
-                    degree.value,
-                    round((at - member.since) / 1e9, 3),
-                    member.word,
-                    claim.incarnation,
-                    f"{claim.host}:{claim.port}",
-                    claim.place,
-                    (claim.low, claim.high),
-                    round((at - member.heard_at) / 1e9, 3) if member.heard_at > 0 else None,
-                    tuple(paths.get(name, ())) if degree not in (Degree.GONE, Degree.LEFT) else (),
+                    status.value,
+                    round((at - member.status_since) / 1e9, 3),
+                    member.status_reporter,
+                    record.incarnation,
+                    f"{record.host}:{record.port}",
+                    record.place,
+                    (record.min_version, record.max_version),
+                    round((at - member.last_received_at) / 1e9, 3) if member.last_received_at > 0 else None,
+                    tuple(paths.get(name, ()))
+                    if status not in (MemberStatus.GONE, MemberStatus.LEFT)
+                    else (),
                 )
             )
-        return View(
+        return MembershipView(
             self._name,
-            core.standing.value,
-            core.in_doubt(at),
-            core.slow,
-            core.lateness,
+            core.local_state.value,
+            core.diagnose_local_health(at),
+            core.awareness,
+            core.lateness_ms,
             core.me.incarnation,
-            dict(self._links.counts),
+            dict(self._transport.counts),
             tuple(rows),
         )
--- a/millweir/members/paths.py
+++ b/millweir/members/paths.py
@@ -1,49 +1,49 @@
-"""Paths between two members that are down, as their ends tell it."""
+"""Table of the reports that a path between two members is down."""
 
 from __future__ import annotations
 
-from millweir.members.messages import Cut
+from millweir.members.messages import PathReport
 from millweir.members.rules import MILLISECOND
 
-Key = tuple[str, str, str]  # start, end, and the end that tells it
+PathKey = tuple[str, str, str]  # start, end, and which of them reports it
 
 
-class Paths:
-    """The newest word on each path; bounded."""
+class PathTable:
+    """The newest report about each path, in a table of bounded size."""
 
-    __slots__ = ("_most", "_number", "held")
+    __slots__ = ("_max_reports", "_sequence", "reports")
 
-    def __init__(self, most: int) -> None:
-        self._most = most
-        self._number = 0  # of this member's own words
-        self.held: dict[Key, Cut] = {}
+    def __init__(self, max_reports: int) -> None:
+        self._max_reports = max_reports
+        self._sequence = 0  # of this member's own reports
+        self.reports: dict[PathKey, PathReport] = {}
 
-    def own(self, now: int, start: str, end: str, by: str, down: bool) -> Cut:
-        """This member's own word, newer than all before, also those of an earlier life."""
-        self._number = max(self._number + 1, now // MILLISECOND)
-        return Cut(start, end, by, self._number, down)
+    def create_report(self, now: int, start: str, end: str, reporter: str, down: bool) -> PathReport:
+        """Returns a report of this member, newer than all before it, even those of an earlier process run."""
+        self._sequence = max(self._sequence + 1, now // MILLISECOND)
+        return PathReport(start, end, reporter, self._sequence, down)
 
-    def is_news(self, cut: Cut) -> bool:
-        """Newer than what is held; that a path is up is news only where it was down."""
-        held = self.held.get(key_of(cut))
-        if held:
-            return cut.number > held.number
-        return cut.number > -1 and cut.down
+    def is_newer(self, report: PathReport) -> bool:
+        """Whether a report is newer than the stored one; if none is stored, only "down" is new."""
+        known = self.reports.get(path_key(report))
+        if known:
+            return report.sequence > known.sequence
+        return report.sequence > -1 and report.down
 
-    def hold(self, cut: Cut) -> None:
-        """The newest one; where there are too many, one that is up again goes first, then the oldest."""
-        key = key_of(cut)
-        self.held.pop(key, None)
-        self.held[key] = cut
-        if len(self.held) > self._most:
-            mended = (old for old, one in self.held.items() if not one.down)
-            self.held.pop(next(mended, next(iter(self.held))))
+    def store(self, report: PathReport) -> None:
+        """Stores a report; a full table drops a report that a path is up again, or else the oldest one."""
+        key = path_key(report)
+        self.reports.pop(key, None)
+        self.reports[key] = report
+        if len(self.reports) > self._max_reports:
+            up_again = (old_key for old_key, old in self.reports.items() if not old.down)
+            self.reports.pop(next(up_again, next(iter(self.reports))))
 
-    def forget(self, name: str) -> None:
-        """All that a member told."""
-        for key in [key for key, cut in self.held.items() if cut.by == name]:
-            del self.held[key]
+    def remove_reports_by(self, name: str) -> None:
+        """Removes all reports of one member."""
+        for key in [key for key, report in self.reports.items() if report.reporter == name]:
+            del self.reports[key]
 
 
-def key_of(cut: Cut) -> Key:
-    return cut.start, cut.end, cut.by
+def path_key(report: PathReport) -> PathKey:
+    return report.start, report.end, report.reporter
--- a/millweir/members/port.py
+++ b/millweir/members/port.py
@@ -1,4 +1,4 @@
-"""What the core does to the world: its caller carries it out."""
+"""Interface through which the core acts: sending, timers, storage and events."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class Port(Protocol):
-    """What the core does to the world."""
+    """Side effects of the core; its caller implements them."""
 
     def send(self, to: Address, version: int, datagram: Datagram) -> None: ...
-    def ask_whole(self, to: Address) -> None: ...
-    def wake(self, at: int) -> None: ...
-    def changed(self, change: Change) -> None: ...
-    def keep(self, incarnation: int) -> None: ...  # to outlast this process, before it is told
-    def say(self, event: str, **fields: object) -> None: ...
+    def request_full_state(self, to: Address) -> None: ...  # starts an exchange of full states
+    def set_timer(self, at: int) -> None: ...  # `Core.time_passed` is due then; replaces the last timer
+    def notify_status_change(self, change: Change) -> None: ...
+    def save_incarnation(self, incarnation: int) -> None: ...  # durably, before it is sent to others
+    def log_event(self, event: str, **fields: object) -> None: ...
--- a/millweir/members/probing.py
+++ b/millweir/members/probing.py
@@ -1,23 +1,23 @@
-"""Whom to probe next, and the probe under way."""
+"""Order in which the active members are probed, and the state of running probes."""
 
 from __future__ import annotations
 
 import random
 from collections.abc import Iterator
 
-from millweir.members.messages import Claim
+from millweir.members.messages import MemberRecord
 from millweir.members.view import Member
 
 
-class Ring:
-    """The active members, in an order shuffled anew each round: everybody is probed within a bound."""
+class ActiveMembers:
+    """The active members, in an order reshuffled each round, so that each is probed within a bounded time."""
 
-    __slots__ = ("_at", "_chance", "_members")
+    __slots__ = ("_next_index", "_rng", "_members")
 
-    def __init__(self, chance: random.Random) -> None:
-        self._chance = chance
+    def __init__(self, rng: random.Random) -> None:
+        self._rng = rng
         self._members: list[Member] = []
-        self._at = 0  # the next one
+        self._next_index = 0  # of the next member to be probed
 
     def __len__(self) -> int:
         return len(self._members)
@@ -26,69 +26,76 @@
         return iter(self._members)
 
     def insert(self, member: Member) -> None:
-        """Into the round, at a place by chance."""
-        self._members.insert(self._chance.randint(0, len(self._members)), member)
+        """Inserts a member at a random position."""
+        self._members.insert(self._rng.randint(0, len(self._members)), member)
 
     def remove(self, member: Member) -> None:
-        at = self._members.index(member)
-        del self._members[at]
-        self._at -= at < self._at
+        """Removes a member without changing the turns of the others."""
+        index = self._members.index(member)
+        del self._members[index]
+        self._next_index -= index < self._next_index
 
     @property
     def current(self) -> Member | None:
-        """The one that `advance` gave last."""
-        return self._members[self._at - 1] if 0 < self._at <= len(self._members) else None
+        """The member that `advance` returned last, if it is still there."""
+        return self._members[self._next_index - 1] if 0 < self._next_index <= len(self._members) else None
 
     def advance(self) -> Member | None:
-        """The next one of the round, or the first one of the next round."""
-        if self._at >= len(self._members):
-            self._chance.shuffle(self._members)
-            self._at = 0
+        """Returns the next member to be probed; begins a new round after the last one."""
+        if self._next_index >= len(self._members):
+            self._rng.shuffle(self._members)
+            self._next_index = 0
         if not self._members:
             return None
-        self._at += 1
-        return self._members[self._at - 1]
+        self._next_index += 1
+        return self._members[self._next_index - 1]
 
-    def some(self, count: int, but: Member | None = None) -> Iterator[Member]:
-        """So many members by chance, each once."""
+    def sample(self, count: int, exclude: Member | None = None) -> Iterator[Member]:
+        """Yields up to `count` distinct members at random."""
         members, seen = self._members, set()
         for _ in range(4 * count):
             if len(seen) >= min(count, len(members)):
                 return
-            member = members[self._chance.randrange(len(members))]
-            if member is not but and member.claim.name not in seen:
-                seen.add(member.claim.name)
+            member = members[self._rng.randrange(len(members))]
+            if member is not exclude and member.record.name not in seen:
+                seen.add(member.record.name)
                 yield member
 
 
 class Probe:
-    """The one probe under way."""
+    """A running probe: asks helpers at `indirect_at`, and has failed if it is unanswered at `ends_at`."""
 
     __slots__ = (
         "answered",
-        "asked",
-        "asks_at",
-        "began",
-        "direct",
-        "ends",
+        "indirect_requested",
+        "indirect_at",
+        "started_at",
+        "answered_directly",
+        "ends_at",
         "nacks",
         "seq",
         "target",
-        "wanted",
+        "expected_nacks",
     )
 
-    def __init__(self, target: Member, seq: int, began: int, asks_at: int, ends: int) -> None:
-        self.target, self.seq, self.began, self.asks_at, self.ends = target, seq, began, asks_at, ends
-        self.answered = self.direct = self.asked = False
-        self.wanted = self.nacks = 0
+    def __init__(self, target: Member, seq: int, started_at: int, indirect_at: int, ends_at: int) -> None:
+        self.target, self.seq, self.started_at, self.indirect_at, self.ends_at = (
+            target,
+            seq,
+            started_at,
+            indirect_at,
+            ends_at,
+        )
+        self.answered = self.answered_directly = self.indirect_requested = False
+        self.expected_nacks = self.nacks = 0
 
 
-class Relay:
-    """A probe made for another member."""
+class IndirectProbe:
+    """A ping sent on behalf of another member, after its ping-req."""
 
-    __slots__ = ("asker", "ends", "seq", "target")
+    __slots__ = ("requester", "ends_at", "seq", "target")
 
-    def __init__(self, asker: Claim, seq: int, target: str, ends: int) -> None:
-        self.asker, self.target = asker, target
-        self.seq = seq  # the asker's
-        self.ends = ends  # when the asker is told that there was no answer
+    def __init__(self, requester: MemberRecord, seq: int, target: str, ends_at: int) -> None:
+        self.requester, self.target = requester, target
+        self.seq = seq  # of the requester's probe
+        self.ends_at = ends_at  # when the requester is sent a nack
--- a/millweir/members/rules.py
+++ b/millweir/members/rules.py
@@ -1,4 +1,4 @@
-"""The rules of membership: times in whole nanoseconds, counts and bounds."""
+"""Protocol parameters of membership, and its units of time (whole nanoseconds)."""
 
 from __future__ import annotations
 
@@ -7,39 +7,45 @@
 
 SECOND = 1_000_000_000
 MILLISECOND = 1_000_000
-NEVER = 1 << 62
-BYTES_SECOND = 8000  # at an interval of one second
+NEVER = 1 << 62  # later than any time
+BASE_BYTES_PER_SECOND = 8000  # send budget at a probe interval of one second
 Address = tuple[str, int]
 
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """Times in nanoseconds; counts as named."""
+    """Protocol parameters; times are in nanoseconds."""
 
     interval: int = SECOND  # between probes
-    timeout: int = SECOND // 2  # until helpers are asked; less than the interval
-    helpers: int = 3
-    suspicion: float = 5.0  # intervals from suspicion to gone at ten members or fewer, at the least
-    patience: float = 6.0  # times as long when nobody else finds the same
-    late_most: int = 8  # how many times slower a member that is late probes
-    news_every: int = SECOND // 5
-    news_to: int = 3
-    retell: int = 4  # times the logarithm of the fleet that a claim is told by each member
-    contact_every: int = 5 * SECOND  # a word to a seed, or to one held gone: heals cuts
-    settle: int = 3 * SECOND  # an unchanged view that differs from another's for so long asks for it whole
-    whole_rest: int = 10 * SECOND  # between whole states asked for
-    doubt_most: int = 120 * SECOND  # how long a member whom nobody answers holds its verdicts back
-    forget: int = 24 * 3600 * SECOND  # records of gone members
-    members_most: int = 4096
-    cuts_most: int = 256
-    relays_most: int = 64  # probes for others under way
-    datagram_most: int = 1200  # bytes
-    bytes_second: int = BYTES_SECOND  # sent; gossip waits for it, probes and their answers never do
-
-    def least(self, members: int) -> int:
-        """The shortest time from a suspicion to gone."""
-        return round(self.suspicion * max(1.0, math.log10(max(members, 1))) * self.interval)
-
-    def told(self, members: int) -> int:
-        """How often one claim is told by each member."""
-        return self.retell * math.ceil(math.log10(members + 1) or 1)
+    timeout: int = SECOND // 2  # from the ping until indirect probes are requested; less than the interval
+    indirect_probe_count: int = 3  # helpers asked per probe
+    # Minimum time from suspected to gone with up to ten members, in probe intervals.
+    suspicion_multiplier: float = 5.0
+    # Factor on the minimum suspicion time while no other member confirms the suspicion.
+    max_suspicion_factor: float = 6.0
+    max_awareness: int = 8  # upper limit of the awareness score, which slows down probing
+    gossip_interval: int = SECOND // 5
+    gossip_fanout: int = 3  # recipients per round
+    # Each member sends an update this many times the logarithm of the fleet size.
+    retransmit_multiplier: int = 4
+    contact_interval: int = 5 * SECOND  # between pings to a seed or a gone member, which heal partitions
+    # A full state is requested when two different views have been unchanged for this long.
+    sync_delay: int = 3 * SECOND
+    min_full_state_interval: int = 10 * SECOND  # between requests for a full state
+    # For this long, a member that gets no answer from anybody withholds its failure verdicts.
+    max_isolation: int = 120 * SECOND
+    gone_retention: int = 24 * 3600 * SECOND  # how long records of gone members are kept
+    max_members: int = 4096
+    max_path_reports: int = 256
+    max_indirect_probes: int = 64  # running probes on behalf of others
+    max_datagram_bytes: int = 1200
+    # Send budget: gossip waits for it; probes and their answers never do.
+    bytes_per_second: int = BASE_BYTES_PER_SECOND
+
+    def min_suspicion_time(self, members: int) -> int:
+        """Minimum time from suspected to gone, which grows with the logarithm of the fleet size."""
+        return round(self.suspicion_multiplier * max(1.0, math.log10(max(members, 1))) * self.interval)
+
+    def max_transmissions(self, members: int) -> int:
+        """How often each member sends one update."""
+        return self.retransmit_multiplier * math.ceil(math.log10(members + 1) or 1)
--- a/tests/lab/test_scale_membership.py
+++ b/tests/lab/test_scale_membership.py
@@ -17,8 +17,8 @@
     settled_fleet,
     steps_of,
 )
-from millweir.members.core import MILLISECOND, SECOND, Degree
-from millweir.members.messages import Claim, Kind, Rank, Told, encode
+from millweir.members.core import MILLISECOND, SECOND, MemberStatus
+from millweir.members.messages import Kind, MemberRecord, ReceivedDatagram, ReportedState, encode
 
 FLEETS = (10, 20, 40, 80)
 TABLES = (10, 100, 1000)
@@ -43,7 +43,7 @@
 
 
 def ping(core):
-    core.heard(MILLISECOND, Told(Kind.PING, 1, claim_of(1), core.me.name))
+    core.receive_datagram(MILLISECOND, ReceivedDatagram(Kind.PING, 1, claim_of(1), core.me.name))
 
 
 def probe(core):
@@ -55,27 +55,31 @@
 
 
 def suspicion_told(core):
-    told = claim_of(2).ranked(Rank.SUSPECTED, "m1")
-    core.heard(MILLISECOND, Told(Kind.NEWS, 0, claim_of(1), claims=(told,)))
+    told = claim_of(2).with_state(ReportedState.SUSPECTED, "m1")
+    core.receive_datagram(MILLISECOND, ReceivedDatagram(Kind.GOSSIP, 0, claim_of(1), records=(told,)))
 
 
 def leave_told(core):
-    core.heard(MILLISECOND, Told(Kind.NEWS, 0, claim_of(3).ranked(Rank.LEFT, "m3")))
+    core.receive_datagram(
+        MILLISECOND, ReceivedDatagram(Kind.GOSSIP, 0, claim_of(3).with_state(ReportedState.LEFT, "m3"))
+    )
 
 
 def join_told(core):
-    core.heard(MILLISECOND, Told(Kind.NEWS, 0, claim_of(1), claims=(claim_of(99_999),)))
+    core.receive_datagram(
+        MILLISECOND, ReceivedDatagram(Kind.GOSSIP, 0, claim_of(1), records=(claim_of(99_999),))
+    )
 
 
 def life_told(core):
     """A new life of a member: the next incarnation."""
-    again = msgspec.structs.replace(claim_of(4), incarnation=2, birth=77)
-    core.heard(MILLISECOND, Told(Kind.NEWS, 0, claim_of(1), claims=(again,)))
+    again = msgspec.structs.replace(claim_of(4), incarnation=2, run_id=77)
+    core.receive_datagram(MILLISECOND, ReceivedDatagram(Kind.GOSSIP, 0, claim_of(1), records=(again,)))
 
 
 def contacts_kept(core):
     """As the relay does for its folder every ten seconds."""
-    assert len(core.some_contacts(8)) == 8
+    assert len(core.list_contacts(8)) == 8
 
 
 EVENTS = (contacts_kept, ping, contact, suspicion_told, leave_told, join_told, life_told)
@@ -91,9 +95,9 @@
     steps = []
     for size in TABLES:
         core = lone_core(size, SEED)
-        core._table.most = len(core.members)
+        core._table.max_members = len(core.members)
         steps.append(steps_of(join_told, core))
-        assert core.full
+        assert core.table_full
     assert is_flat(steps), steps
 
 
@@ -112,8 +116,8 @@
     """A core of a large table that suspects so many."""
     core = lone_core(TABLES[-1], SEED)
     for number in range(100, 100 + count):
-        told = claim_of(number).ranked(Rank.SUSPECTED, "m1")
-        core.heard(MILLISECOND, Told(Kind.NEWS, 0, claim_of(1), claims=(told,)))
+        told = claim_of(number).with_state(ReportedState.SUSPECTED, "m1")
+        core.receive_datagram(MILLISECOND, ReceivedDatagram(Kind.GOSSIP, 0, claim_of(1), records=(told,)))
     return core
 
 
@@ -135,7 +139,7 @@
         self.sent = []
         self.asked = []
 
-    def ask_whole(self, to):
+    def request_full_state(self, to):
         self.asked.append(to)
 
     def send(self, to, version, datagram):
@@ -152,8 +156,8 @@
     number = 10
     for rank, count in ranks:
         for _ in range(count):
-            told = claim_of(number).ranked(rank, "m1")
-            core.heard(MILLISECOND, Told(Kind.NEWS, 0, claim_of(1), claims=(told,)))
+            told = claim_of(number).with_state(rank, "m1")
+            core.receive_datagram(MILLISECOND, ReceivedDatagram(Kind.GOSSIP, 0, claim_of(1), records=(told,)))
             number += 1
     port.sent.clear()
     return core
@@ -161,41 +165,41 @@
 
 def test_gossip_keeps_to_its_bytes_a_second_however_much_there_is_to_tell():
     port = RecordingPort()
-    core = full_of_news(port, [(Rank.SUSPECTED, 400)])
+    core = full_of_news(port, [(ReportedState.SUSPECTED, 400)])
     seconds = 4
     for step in range(1, 5 * seconds + 1):
         core.time_passed(step * SECOND // 5)
-    most = core.rules.bytes_second * seconds + 2 * core.rules.datagram_most
+    most = core.rules.bytes_per_second * seconds + 2 * core.rules.max_datagram_bytes
     assert most // 2 < port.bytes <= most
 
 
 def test_an_answer_tells_the_most_urgent_where_the_bytes_are_spent():
     port = RecordingPort()
-    core = full_of_news(port, [(Rank.SUSPECTED, 400)])
+    core = full_of_news(port, [(ReportedState.SUSPECTED, 400)])
     for number in range(100):
-        core.heard(MILLISECOND, Told(Kind.PING, number, claim_of(1), core.me.name))
+        core.receive_datagram(MILLISECOND, ReceivedDatagram(Kind.PING, number, claim_of(1), core.me.name))
     assert [datagram.kind for datagram in port.sent] == [Kind.ACK] * 100
-    assert all(datagram.claims for datagram in port.sent)
+    assert all(datagram.records for datagram in port.sent)
     assert len(encode(port.sent[-1])) < 500 < len(encode(port.sent[0]))
 
 
 def test_a_refutation_and_suspicions_are_told_before_deaths():
     port = RecordingPort()
-    core = full_of_news(port, [(Rank.SUSPECTED, 2)])
+    core = full_of_news(port, [(ReportedState.SUSPECTED, 2)])
     for number in (500, 501, 502):
-        left = claim_of(number).ranked(Rank.LEFT, f"m{number}")
-        core.heard(MILLISECOND, Told(Kind.NEWS, 0, left))
-    accused = core.me.ranked(Rank.SUSPECTED, "m1")
-    core.heard(2 * MILLISECOND, Told(Kind.NEWS, 0, claim_of(1), claims=(accused,)))
+        left = claim_of(number).with_state(ReportedState.LEFT, f"m{number}")
+        core.receive_datagram(MILLISECOND, ReceivedDatagram(Kind.GOSSIP, 0, left))
+    accused = core.me.with_state(ReportedState.SUSPECTED, "m1")
+    core.receive_datagram(2 * MILLISECOND, ReceivedDatagram(Kind.GOSSIP, 0, claim_of(1), records=(accused,)))
     for number in (503, 504):
-        left = claim_of(number).ranked(Rank.LEFT, f"m{number}")
-        core.heard(3 * MILLISECOND, Told(Kind.NEWS, 0, left))
+        left = claim_of(number).with_state(ReportedState.LEFT, f"m{number}")
+        core.receive_datagram(3 * MILLISECOND, ReceivedDatagram(Kind.GOSSIP, 0, left))
     port.sent.clear()
-    core.heard(4 * MILLISECOND, Told(Kind.PING, 1, claim_of(5), core.me.name))
-    told = [msgspec.msgpack.decode(raw, type=Claim) for raw in port.sent[0].claims]
+    core.receive_datagram(4 * MILLISECOND, ReceivedDatagram(Kind.PING, 1, claim_of(5), core.me.name))
+    told = [msgspec.msgpack.decode(raw, type=MemberRecord) for raw in port.sent[0].records]
     assert told[0].name == core.me.name and told[0].incarnation > accused.incarnation
-    assert [claim.rank for claim in told[1:3]] == [Rank.SUSPECTED] * 2
-    assert {claim.rank for claim in told[3:]} == {Rank.LEFT}
+    assert [claim.state for claim in told[1:3]] == [ReportedState.SUSPECTED] * 2
+    assert {claim.state for claim in told[3:]} == {ReportedState.LEFT}
 
 
 def test_the_plain_swim_baseline_holds_the_dead_for_gone():
@@ -204,16 +208,16 @@
     fleet.run(3 * SECOND)
     fleet.nodes[3].kill()
     fleet.run(30 * SECOND)
-    assert {node.core.members["m3"].degree for node in fleet.living} == {Degree.GONE}
+    assert {node.core.members["m3"].status for node in fleet.living} == {MemberStatus.GONE}
 
 
 def test_a_view_with_updates_left_to_tell_asks_for_no_full_state():
     """They are on their way: a full state is for what gossip has lost."""
     port = RecordingPort()
-    core = full_of_news(port, [(Rank.SUSPECTED, 1)])
-    other = Told(Kind.ACK, 1, claim_of(1), digest=1, settled=60_000)
-    core.heard(60 * SECOND, other)
+    core = full_of_news(port, [(ReportedState.SUSPECTED, 1)])
+    other = ReceivedDatagram(Kind.ACK, 1, claim_of(1), digest=1, unchanged_ms=60_000)
+    core.receive_datagram(60 * SECOND, other)
     assert port.asked == []
     core._gossip.clear()
-    core.heard(61 * SECOND, other)
+    core.receive_datagram(61 * SECOND, other)
     assert port.asked == [claim_of(1).address]
--- a/tests/members/mutants.py
+++ b/tests/members/mutants.py
@@ -1,4 +1,4 @@
-"""Broken cores: each is one line of the real one changed, with the case that finds it."""
+"""Mutants of the core: each makes one change to it, and the scenario named with it must fail."""
 
 from __future__ import annotations
 
@@ -9,112 +9,132 @@
 import millweir.members.core as real
 import millweir.members.gossip as gossip
 
-SHARED = ("Degree", "Standing", "Rules", "Change", "Member", "Probe")
-CORE_LINE = "class Core:\n"  # stands once in the core; left as it is
+SHARED = ("MemberStatus", "LocalState", "Rules", "Change", "Member", "Probe")
+CORE_LINE = "class Core:\n"  # occurs once in the core; replaced by itself
 
 # ruff: noqa: E501
-# name: (text of the core, what stands there instead, the case that finds it)
+# name: (text of the core or of the gossip module, its replacement, the scenario that must fail)
 MUTANTS = {
     "a pause is not noticed": (
-        "        if late > self.rules.timeout // 2:",
-        "        if late > 1 << 60:",
+        "        if delay > self.rules.timeout // 2:",
+        "        if delay > 1 << 60:",
         "paused-while-suspecting",
     ),
-    "whose probes all fail accuses all the same": (
-        "if self._vain >= max(2, min(3, len(self._ring))) and",
-        "if False and",
-        "mute",
+    "a member whose probes all fail accuses others": (
+        "self._unanswered_probes >= max(2, min(3, len(self._active_members)))\n            and",
+        "False\n            and",
+        "nothing-sent-arrives",
     ),
-    "who hears nobody accuses all the same": (
-        "if self._vain >= max(2, min(3, len(self._ring))) and",
-        "if False and",
+    "a member that receives nothing accuses others": (
+        "self._unanswered_probes >= max(2, min(3, len(self._active_members)))\n            and",
+        "False\n            and",
         "pause-all-but-one-60",
     ),
-    "a doubt never ends": (" and now - self._vain_since < self.rules.doubt_most:", ":", "lone-survivor"),
-    "gone is believed at once": (
-        "elif claim.rank is Rank.GONE and member.degree is Degree.SUSPECTED:",
-        "elif claim.rank is Rank.GONE:",
-        "gone-told-of-the-well",
+    "verdicts are withheld without a time limit": (
+        "            and now - self._unanswered_since < self.rules.max_isolation\n",
+        "",
+        "last-survivor-declares-the-others-gone",
+    ),
+    "a report of gone is believed at once": (
+        "elif record.state is ReportedState.GONE and member.status is MemberStatus.SUSPECTED:",
+        "elif record.state is ReportedState.GONE:",
+        "false-report-of-gone",
     ),
-    "who is thought gone is not told so": (
-        "if held and (held.claim.key > to.key or held.claim.rank is not Rank.ALIVE):",
+    "a member taken for gone is not told so": (
+        "if known and (\n            known.record.precedence > recipient.precedence or known.record.state is not ReportedState.ALIVE\n        ):",
         "if False:",
-        "back-amid-news",
+        "return-during-constant-updates",
     ),
-    "no helpers": (
-        "for helper in self._ring.some(self.rules.helpers, probe.target):",
+    "no indirect probes": (
+        "for helper in self._active_members.sample(self.rules.indirect_probe_count, probe.target):",
         "for helper in ():",
-        "by-a-third",
+        "path-down-both-ways-except-through-others",
     ),
-    "those held gone are never looked for": (
-        "        if gone and (not ways or",
-        "        if False and (not ways or",
-        "split-without-seeds",
+    "gone members are never contacted": (
+        "        if gone and (not addresses or",
+        "        if False and (not addresses or",
+        "partition-without-seeds",
     ),
-    "a refutation without a higher number": (
-        "self._rise(now, claim.incarnation + 1, claim)",
-        "self._rise(now, claim.incarnation, claim)",
+    "a refutation without a higher incarnation": (
+        "self._raise_incarnation(now, record.incarnation + 1, record)",
+        "self._raise_incarnation(now, record.incarnation, record)",
         "pause-alone-60",
     ),
-    "old news are taken": ("        if claim.key < member.claim.key:", "        if False:", "replayed"),
-    "a name is taken from a living member": (
-        "not any(self._is_anothers(claim) for claim in claims)",
+    "outdated records are applied": (
+        "        if record.precedence < member.record.precedence:",
+        "        if False:",
+        "old-datagrams-replayed",
+    ),
+    "a name is taken from a live member": (
+        "not any(\n            self._is_name_conflict(record) for record in records\n        )",
         "True",
-        "two-of-one-name",
+        "name-used-twice",
     ),
-    "a suspicion never runs out": (
-        "self._verdicts.due(now)",
+    "a suspicion never expires": (
+        "self._suspicion_timers.pop_expired(now)",
         "[]",
-        "kill-is-found",
+        "killed-member-is-declared-gone",
     ),
-    "others' findings don't shorten a suspicion": (
-        "        member.accusers.add(claim.by)\n",
+    "confirmations do not shorten a suspicion": (
+        "        member.suspected_by.add(record.reporter)\n",
         "",
-        "kill-is-found",
+        "killed-member-is-declared-gone",
     ),
-    "a path is down when one probe fails": (
-        "        if member.ask_in_vain >= 3:",
-        "        if member.ask_in_vain >= 1:",
-        "path-not-by-one-loss",
+    "one failed probe marks a path as down": (
+        "        if member.indirect_only_probes >= 3:",
+        "        if member.indirect_only_probes >= 1:",
+        "short-loss-is-no-path-fault",
     ),
-    "a cut path is never up again": ("self._path(now, member, out=False, into=False)", "pass", "one-way"),
-    "both ways are taken for cut": ("into=member.heard_at < member.vain_since)", "into=True)", "one-way"),
-    "a datagram takes all the news": (
-        "        if len(raw) > load.room:\n            break\n",
+    "a path that was down stays down": (
+        "self._set_path_state(now, member, outbound_down=False, inbound_down=False)",
+        "pass",
+        "path-down-one-way",
+    ),
+    "both directions are taken for down": (
+        "inbound_down=member.last_received_at < member.indirect_only_since,",
+        "inbound_down=True,",
+        "path-down-one-way",
+    ),
+    "a datagram takes all waiting updates": (
+        "        if len(raw) > payload.free_bytes:\n            break\n",
         "",
-        "much-news",
+        "more-gossip-than-one-datagram-holds",
     ),
-    "cuts are told to all": (
-        "            if to.high >= CUTS_SINCE:",
+    "path reports are sent to members of version 1": (
+        "            if recipient.max_version >= PATH_REPORTS_MIN_VERSION:",
         "            if True:",
-        "two-versions",
+        "members-of-two-versions",
     ),
-    "the table has no bound": (
+    "the member table has no limit": (
         "        if not self._table.has_room():",
         "        if False:",
-        "bounded",
+        "tables-are-bounded",
     ),
-    "helpers keep quiet": (
-        "            self._send(now, asker, Kind.NACK, theirs, target=target)\n",
+    "helpers send no nack": (
+        "            self._send(\n                now, indirect_probe.requester, Kind.NACK, indirect_probe.seq, target=indirect_probe.target\n            )\n",
         "            pass\n",
-        "helpers-well",
+        "nacks-keep-the-awareness-score-low",
     ),
-    "a folder's number is used again": (
-        "incarnation=me.incarnation + 1)\n            port.keep",
-        "incarnation=me.incarnation)\n            port.keep",
-        "restart-with-folders",
+    "a saved incarnation is used again": (
+        "incarnation=me.incarnation + 1)\n            port.save_incarnation",
+        "incarnation=me.incarnation)\n            port.save_incarnation",
+        "restart-with-state-files",
     ),
-    "a timer that fired early is not asked for again": (
-        "        self._due = 0  # ask again",
-        "        pass  # ask again",
-        "early-timers",
+    "a timer that fired early is not set again": (
+        "        self._timer_at = 0\n",
+        "        pass\n",
+        "timers-fire-early",
+    ),
+    "a leave is not announced": (
+        "        self.me = self.me.with_state(ReportedState.LEFT, self.me.name)\n",
+        "",
+        "orderly-leave",
     ),
-    "a leave is not told": ("        self.me = self.me.ranked(Rank.LEFT, self.me.name)\n", "", "leave"),
 }
 
 
 def broken(name):
-    """The core's class with one line changed, of its own module or of the gossip's."""
+    """Returns the class `Core` with one change, in its own module or in the gossip module."""
     old, new, _ = MUTANTS[name]
     if old in Path(gossip.__file__).read_text():
         return core_with_broken_gossip(name, old, new)
@@ -122,11 +142,11 @@
 
 
 def core_with_broken_gossip(name, old, new):
-    """The real core's text, with the class `Gossip` of the changed one."""
+    """Returns the real core with the changed module's class `GossipQueue`."""
     source = Path(gossip.__file__).read_text()
-    assert source.count(old) == 1, f"{name}: stands {source.count(old)} times in {gossip.__name__}"
+    assert source.count(old) == 1, f"{name}: occurs {source.count(old)} times in {gossip.__name__}"
     changed = {"__name__": gossip.__name__}
     exec(compile(source.replace(old, new), name, "exec", dont_inherit=True), changed)
     core = broken_core(real, name, CORE_LINE, CORE_LINE, SHARED)
-    core.__init__.__globals__["Gossip"] = changed["Gossip"]
+    core.__init__.__globals__["GossipQueue"] = changed["GossipQueue"]
     return core
--- a/tests/members/test_cases.py
+++ b/tests/members/test_cases.py
@@ -1,4 +1,4 @@
-"""The hard cases hold, on simulated fleets of the very core that the relay runs."""
+"""The failure scenarios hold on simulated fleets that run the relay's own core."""
 
 import pytest
 from members.cases import CASES
@@ -7,5 +7,5 @@
 
 
 @pytest.mark.parametrize("name", CASES)
-def test_case(name):
+def test_scenario_holds(name):
     CASES[name](Core)
--- a/tests/members/test_mutants.py
+++ b/tests/members/test_mutants.py
@@ -1,4 +1,4 @@
-"""A case that never failed with its guard taken out proves nothing."""
+"""Each scenario fails once the guard that it tests is taken out of the core."""
 
 import pytest
 from members.cases import CASES
@@ -6,6 +6,7 @@
 
 
 @pytest.mark.parametrize("name", MUTANTS)
-def test_a_broken_core_is_found(name):
+def test_scenario_fails_on_the_mutant(name):
+    core = broken(name)
     with pytest.raises(AssertionError):
-        CASES[MUTANTS[name][2]](broken(name))
+        CASES[MUTANTS[name][2]](core)
--- a/tests/members/test_sequences.py
+++ b/tests/members/test_sequences.py
@@ -1,6 +1,6 @@
-"""Any sequence of messages: what holds of the core whatever comes.
+"""Invariants of the core under any sequence of messages.
 
-`MILLWEIR_SEQUENCES` sets how many sequences are tried; the figure of 10,000 stands in docs/results.md.
+`MILLWEIR_SEQUENCES` sets how many sequences are tried; docs/results.md gives the figure for 10,000.
 """
 
 import os
@@ -11,99 +11,112 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from millweir.members.core import NEVER, SECOND, Core, Degree, Rules, Standing
-from millweir.members.messages import Claim, Cut, Kind, Rank, Told, Whole
+from millweir.members.core import NEVER, SECOND, Core, LocalState, MemberStatus, Rules
+from millweir.members.messages import (
+    FullState,
+    Kind,
+    MemberRecord,
+    PathReport,
+    ReceivedDatagram,
+    ReportedState,
+)
 
 NAMES = ("a", "b", "c", "me")
-PORTS = {name: 1000 + at for at, name in enumerate(NAMES)}
+PORTS = {name: 1000 + index for index, name in enumerate(NAMES)}
 
 
-class Quiet:
-    """A port that keeps what it must."""
+class RecordingPort:
+    """A port that only records saved incarnations and the timer."""
 
     def __init__(self):
-        self.kept, self.due = [], None
+        self.incarnations, self.timer_at = [], None
 
-    def wake(self, at):
-        self.due = at
+    def set_timer(self, at):
+        self.timer_at = at
 
-    def keep(self, incarnation):
-        self.kept.append(incarnation)
+    def save_incarnation(self, incarnation):
+        self.incarnations.append(incarnation)
 
     def send(self, to, version, datagram):
-        assert len(datagram.claims) <= 64
+        assert len(datagram.records) <= 64
 
-    def ask_whole(self, to):
+    def request_full_state(self, to):
         pass
 
-    def changed(self, change):
+    def notify_status_change(self, change):
         pass
 
-    def say(self, event, **fields):
+    def log_event(self, event, **fields):
         pass
 
 
-def claimed(name, birth, incarnation, rank, by, moved):
-    return Claim(name, birth, incarnation, rank, "127.0.0.1", PORTS[name] + 100 * moved, by, 1, 2)
+def make_record(name, run_id, incarnation, state, reporter, moved):
+    return MemberRecord(
+        name, run_id, incarnation, state, "127.0.0.1", PORTS[name] + 100 * moved, reporter, 1, 2
+    )
 
 
-names, births, numbers = st.sampled_from(NAMES), st.integers(1, 3), st.integers(0, 4)
-claims = st.builds(claimed, names, births, numbers, st.sampled_from(Rank), names, st.booleans())
-cuts = st.builds(Cut, names, names, names, st.integers(0, 5), st.booleans())
+names, run_ids, incarnations = st.sampled_from(NAMES), st.integers(1, 3), st.integers(0, 4)
+records = st.builds(
+    make_record, names, run_ids, incarnations, st.sampled_from(ReportedState), names, st.booleans()
+)
+path_reports = st.builds(PathReport, names, names, names, st.integers(0, 5), st.booleans())
 senders = st.builds(
-    lambda name, birth, number: claimed(name, birth, number, Rank.ALIVE, name, False),
+    lambda name, run_id, incarnation: make_record(
+        name, run_id, incarnation, ReportedState.ALIVE, name, False
+    ),
     st.sampled_from(NAMES[:3]),
-    births,
-    numbers,
+    run_ids,
+    incarnations,
 )
 datagrams = st.builds(
-    Told,
+    ReceivedDatagram,
     st.sampled_from(Kind),
     st.integers(0, 3),
     senders,
     st.sampled_from(NAMES),
-    claims=st.lists(claims, max_size=4).map(tuple),
-    cuts=st.lists(cuts, max_size=2).map(tuple),
-    late=st.sampled_from((0, 900)),
+    records=st.lists(records, max_size=4).map(tuple),
+    path_reports=st.lists(path_reports, max_size=2).map(tuple),
+    lateness_ms=st.sampled_from((0, 900)),
     digest=st.integers(0, 2),
-    settled=st.integers(0, 9000),
-    asker=st.sampled_from(("", "a")),
-    heard=st.integers(-1, 2000),
+    unchanged_ms=st.integers(0, 9000),
+    requester=st.sampled_from(("", "a")),
+    requester_last_seen_ms=st.integers(-1, 2000),
 )
 
 
 class Sequences(RuleBasedStateMachine):
-    """Two cores that hear the same, the second one in another order and at other times."""
+    """Two cores that receive the same messages, the second in another order and at other times."""
 
-    @initialize(kept=st.integers(0, 3), seeds=st.booleans())
-    def begin(self, kept, seeds):
+    @initialize(saved=st.integers(0, 3), seeds=st.booleans())
+    def begin(self, saved, seeds):
         self.now = SECOND
-        me = Claim("me", 9, kept, Rank.ALIVE, "127.0.0.1", PORTS["me"], "me", 1, 2)
+        me = MemberRecord("me", 9, saved, ReportedState.ALIVE, "127.0.0.1", PORTS["me"], "me", 1, 2)
         contacts = [("127.0.0.1", 1000)] if seeds else []
-        self.port = Quiet()
-        self.core = Core(self.port, Rules(members_most=8), random.Random(1), self.now, me, contacts)
+        self.port = RecordingPort()
+        self.core = Core(self.port, Rules(max_members=8), random.Random(1), self.now, me, contacts)
         self.core.time_passed(self.now)
-        self.told = []
-        self.best, self.out, self.mine = {}, {}, self.core.me.incarnation
+        self.received = []
+        self.highest, self.last_inactive, self.own_incarnation = {}, {}, self.core.me.incarnation
 
-    @rule(told=datagrams)
-    def datagram(self, told):
-        self.told.append(told)
-        self.core.heard(self.now, told)
+    @rule(datagram=datagrams)
+    def receive_datagram(self, datagram):
+        self.received.append(datagram)
+        self.core.receive_datagram(self.now, datagram)
 
-    @rule(me=senders, given=st.lists(claims, max_size=6))
-    def whole(self, me, given):
-        self.told.append(Whole(me, tuple(given)))
-        self.core.whole_told(self.now, self.told[-1])
+    @rule(sender=senders, given=st.lists(records, max_size=6))
+    def receive_full_state(self, sender, given):
+        self.received.append(FullState(sender, tuple(given)))
+        self.core.receive_full_state(self.now, self.received[-1])
 
     @rule(after=st.sampled_from((0.01, 0.3, 1.0, 7.0, 60.0)))
-    def time(self, after):
+    def let_time_pass(self, after):
         self.now += round(after * SECOND)
         self.core.time_passed(self.now)
 
     @rule()
-    def due(self):
-        self.now = max(self.now, self.port.due)
+    def fire_timer(self):
+        self.now = max(self.now, self.port.timer_at)
         self.core.time_passed(self.now)
 
     @rule()
@@ -111,58 +124,64 @@
         self.core.leave(self.now)
 
     @invariant()
-    def incarnations_only_rise(self):
+    def check_that_incarnations_only_rise(self):
         if not hasattr(self, "core"):
             return
         for name, member in self.core.members.items():
-            assert member.claim.key >= self.best.get(name, (0, 0, 0))
-            self.best[name] = member.claim.key
-        assert self.core.me.incarnation >= self.mine
-        self.mine = self.core.me.incarnation
-        assert all(before < after for before, after in pairwise(self.port.kept))
-        assert self.core.standing is not Standing.IN or self.mine > 0
+            assert member.record.precedence >= self.highest.get(name, (0, 0, 0))
+            self.highest[name] = member.record.precedence
+        assert self.core.me.incarnation >= self.own_incarnation
+        self.own_incarnation = self.core.me.incarnation
+        assert all(before < after for before, after in pairwise(self.port.incarnations))
+        assert self.core.local_state is not LocalState.JOINED or self.own_incarnation > 0
 
     @invariant()
-    def gone_is_never_alive_again_under_one_number(self):
+    def check_that_no_member_returns_with_the_same_incarnation(self):
         if not hasattr(self, "core"):
             return
         for name, member in self.core.members.items():
             if member.active:
-                assert member.claim.incarnation > self.out.get(name, 0)
+                assert member.record.incarnation > self.last_inactive.get(name, 0)
             else:
-                self.out[name] = member.claim.incarnation
+                self.last_inactive[name] = member.record.incarnation
 
     @invariant()
-    def what_is_kept_fits_together(self):
+    def check_that_tables_are_consistent(self):
         if not hasattr(self, "core"):
             return
         core = self.core
-        ring = [member.claim.name for member in core._ring]
-        assert sorted(ring) == sorted(name for name, m in core.members.items() if m.active)
+        active = [member.record.name for member in core._active_members]
+        assert sorted(active) == sorted(name for name, m in core.members.items() if m.active)
         table = core._table
-        assert set(table.gone) == {m for m in core.members.values() if m.degree is Degree.GONE}
+        assert set(table.gone) == {m for m in core.members.values() if m.status is MemberStatus.GONE}
         assert len(set(table.gone)) == len(table.gone)
-        there = [member.claim.address for member in core._ring]
-        assert table.contacts == {address: there.count(address) for address in table.contacts}
-        assert "me" not in core.members and len(core.members) <= 8 and len(core.cuts) <= core.rules.cuts_most
-        assert set(core._suspects) == {name for name, m in core.members.items() if m.accusers is not None}
-        verdicts = [member.verdict_at for member in core._suspects.values()]
-        assert core._verdicts.next_at() == min(verdicts, default=NEVER)
-        assert self.port.due is None or core._due == self.port.due
+        addresses = [member.record.address for member in core._active_members]
+        assert table.contacts == {address: addresses.count(address) for address in table.contacts}
+        assert (
+            "me" not in core.members
+            and len(core.members) <= 8
+            and len(core.path_reports) <= core.rules.max_path_reports
+        )
+        assert set(core._suspects) == {name for name, m in core.members.items() if m.suspected_by is not None}
+        expiry_times = [member.suspicion_expires_at for member in core._suspects.values()]
+        assert core._suspicion_timers.next_expiry() == min(expiry_times, default=NEVER)
+        assert self.port.timer_at is None or core._timer_at == self.port.timer_at
 
     def teardown(self):
-        """Two cores that heard the same agree, whatever the order, once all suspicions have run out."""
-        if not hasattr(self, "core") or self.core.standing is Standing.LEAVING:
+        """Two cores that received the same messages in any order hold the same records."""
+        if not hasattr(self, "core") or self.core.local_state is LocalState.LEAVING:
             return
-        me = Claim("me", 8, 9, Rank.ALIVE, "127.0.0.1", PORTS["me"], "me", 1, 2)
+        me = MemberRecord("me", 8, 9, ReportedState.ALIVE, "127.0.0.1", PORTS["me"], "me", 1, 2)
         views = []
         for seed in range(2):
-            core = Core(Quiet(), Rules(), random.Random(seed), SECOND, me)
-            told = list(self.told)
-            random.Random(seed).shuffle(told)
-            for one in told:
-                (core.heard if isinstance(one, Told) else core.whole_told)(SECOND, one)
-            views.append({name: m.claim.key for name, m in core.members.items()})
+            core = Core(RecordingPort(), Rules(), random.Random(seed), SECOND, me)
+            messages = list(self.received)
+            random.Random(seed).shuffle(messages)
+            for message in messages:
+                (core.receive_datagram if isinstance(message, ReceivedDatagram) else core.receive_full_state)(
+                    SECOND, message
+                )
+            views.append({name: m.record.precedence for name, m in core.members.items()})
         assert views[0] == views[1]
 
 
--- a/tests/operator/test_file.py
+++ b/tests/operator/test_file.py
@@ -38,7 +38,9 @@
     path.write_text(GOOD)
     members = read_operator(str(path), SectionTypes())["members"]
     assert (members.interval, members.timeout, members.datagram_most) == (250_000_000, 100_000_000, 1024)
-    assert members.rules().news_every == 50_000_000 and members.via == {"127.0.0.1:7947": "127.0.0.1:9000"}
+    assert members.rules().gossip_interval == 50_000_000 and members.via == {
+        "127.0.0.1:7947": "127.0.0.1:9000"
+    }
     path.write_text("")
     assert read_operator(str(path), SectionTypes()) == {}
 
