--- a/millweir/configuration/__init__.py
+++ b/millweir/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration told by partition, as differences by version, and acknowledged."""
+"""Distribution of the configuration to relays, by partition, as versioned deltas with acknowledgements."""
--- a/millweir/configuration/events.py
+++ b/millweir/configuration/events.py
@@ -1,4 +1,4 @@
-"""What the cores say to their callers: typed events, counted by their type's name."""
+"""Events that the distributor and holder cores emit to their callers, counted by type name."""
 
 from __future__ import annotations
 
@@ -9,37 +9,37 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeRefused:
-    """A relay took nothing of a message."""
+    """A relay refused a message and applied nothing of it."""
 
-    source: str  # the distributor
-    partition: int  # -1 where the frame could not be read
+    source: str  # name of the distributor
+    partition: int  # -1 if the frame was unreadable
     version: int
     reason: RefusalReason
 
 
 @dataclass(frozen=True, slots=True)
 class GapFound:
-    """A delta starts after the version held; the missing part was asked for."""
+    """A delta starts after the version held; the missing changes have been requested."""
 
     source: str
     partition: int
-    held: int
-    previous: int
+    held_version: int
+    previous_version: int
 
 
 @dataclass(frozen=True, slots=True)
-class DistributorsDisagree:
-    """Two sources hold different entries at one version; the register is asked."""
+class DigestsDisagree:
+    """Two sources have different digests at one version; the store's digest has been requested."""
 
     partition: int
     version: int
-    held_from: str
+    held_source: str
     source: str
 
 
 @dataclass(frozen=True, slots=True)
 class DistributorDistrusted:
-    """The register's word was against this distributor; it is avoided for a while."""
+    """A distributor's digest differs from the store's; the distributor is avoided for a period."""
 
     distributor: str
     partition: int
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaReplaced:
-    """The register's word was against what was held; the partition is fetched whole."""
+    """The digest held differs from the store's; the partition is fetched in full."""
 
     partition: int
     version: int
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DistributorLeft:
-    """A relay goes to another distributor."""
+    """A relay leaves its distributor and connects to another one."""
 
     distributor: str
     reason: str
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredPartitionRefused:
-    """A partition read from the folder does not have the digest written beside it; it is fetched whole."""
+    """A partition in the folder does not match its stored digest; it is fetched in full."""
 
     partition: int
     version: int
@@ -72,40 +72,40 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotStarted:
-    """A relay gets a partition whole: it is further behind than the log reaches."""
+    """A relay is sent a snapshot, as its version is older than the change log."""
 
     relay: str
     partition: int
-    held: int
+    held_version: int
 
 
 @dataclass(frozen=True, slots=True)
 class RelayUnavailable:
-    """A relay was sent away."""
+    """A distributor refused a relay's hello."""
 
     relay: str
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
-class RegisterGap:
-    """The register's changes skip a version; what is missing was asked for."""
+class StoreGapFound:
+    """The store's changes skip a version; the missing ones have been requested."""
 
-    held: int
-    given: int
+    held_version: int
+    received_version: int
 
 
 @dataclass(frozen=True, slots=True)
-class RegisterMismatch:
-    """A change does not lead to the register's digest; the partition is fetched whole."""
+class StoreDigestMismatch:
+    """A change or a fetched partition does not match the store's digest; the partition is fetched in full."""
 
     partition: int
     version: int
 
 
 @dataclass(frozen=True, slots=True)
-class FrameRefused:
-    """A distributor could not read a relay's frame."""
+class UnreadableFrameDropped:
+    """A distributor dropped an unreadable frame of a relay."""
 
     relay: str
 
@@ -113,14 +113,14 @@
 Event = (
     ChangeRefused
     | GapFound
-    | DistributorsDisagree
+    | DigestsDisagree
     | DistributorDistrusted
     | ReplicaReplaced
     | DistributorLeft
     | StoredPartitionRefused
     | SnapshotStarted
     | RelayUnavailable
-    | RegisterGap
-    | RegisterMismatch
-    | FrameRefused
+    | StoreGapFound
+    | StoreDigestMismatch
+    | UnreadableFrameDropped
 )
--- a/millweir/configuration/holder.py
+++ b/millweir/configuration/holder.py
@@ -1,20 +1,24 @@
-"""The configuration in a relay: the deciding core.  No I/O, no clock, no chance of its own; nanoseconds.
+"""Core of a relay's configuration holder: replicates its partitions from one distributor at a time.
 
-Theory of operation.  The holder has a replica of each partition that is assigned to it.  It connects to one
-distributor, by rendezvous hashing over its own name, and goes to the next one where that one is silent, lies
-behind, sends it away or is distrusted.  A message is taken in whole or refused whole: the entries that it
-leads to must have the digest that it gives.  `step` returns what is to be written to the folder and what is
-to be sent; the caller writes first, so that an acknowledged version outlasts this process.
+The core is deterministic: it does no I/O and reads neither a clock nor a random source. Callers pass the time
+in whole nanoseconds.
 
-Rules: a replica's version never falls.  Entries change at one version only after the register's word was
-against what was held.  The assignment's version never falls.
+The holder keeps a replica of each partition assigned to it. It connects to one distributor, in an order given
+by rendezvous hashing over its own name, and moves to the next one if the current one times out, is behind the
+store, refuses it or is distrusted. A message is applied or refused as a whole: the resulting entries must
+have the digest that the message gives. `take_actions` returns the folder writes and the frames to send; the
+caller does the writes first, so that an acknowledged version survives a crash of the process.
 
-Two sources that disagree (same partition and version, different digest) are never settled here: nothing is
-taken, the register is asked for its digest, and who is wrong by that is replaced (our replica) or avoided
-(the distributor).  A snapshot has nothing to be compared with: it is in force at once, and the register is
-asked for its digest afterwards.
+Invariants: a replica's version never decreases. Entries change without a change of version only after the
+store has contradicted the digest held. The assignment version never decreases.
 
-Steps: a message costs its edits; a hello and `tick` cost the relay's own partitions at the most.
+If two sources disagree (same partition and version, different digests), the holder does not decide which is
+right: it applies nothing and requests the digest from the configuration store. Whichever is wrong by that
+digest is replaced (the replica) or avoided (the distributor). A snapshot has nothing to be compared with: it
+is in force at once, and the store's digest is requested afterwards.
+
+Cost: a message is linear in its edits; a hello and `advance_time` are at most linear in the relay's
+partitions.
 """
 
 from __future__ import annotations
@@ -27,26 +31,26 @@
 
 from millweir.configuration.events import (
     ChangeRefused,
+    DigestsDisagree,
     DistributorDistrusted,
     DistributorLeft,
-    DistributorsDisagree,
     Event,
     GapFound,
     ReplicaReplaced,
     StoredPartitionRefused,
 )
 from millweir.configuration.messages import (
-    Acknowledge,
+    Acknowledgement,
     Assign,
     Chunk,
     Delta,
     Disagreement,
     Edit,
-    Held,
+    HeldPartition,
     Hello,
     Message,
+    PartitionRequest,
     RefusalReason,
-    Request,
     Status,
     Unavailable,
     UnreadableFrame,
@@ -54,32 +58,35 @@
     encode_frame,
 )
 from millweir.configuration.pacing import SECOND
-from millweir.configuration.partition import apply_edits, digest_after, digest_of, distinct_keys
+from millweir.configuration.partition import (
+    apply_edits,
+    compute_digest,
+    compute_digest_after,
+    has_distinct_keys,
+)
 
 NEVER = 1 << 62
-DOUBLINGS_MOST = 8  # of the pause between connections
+MAX_BACK_OFF_DOUBLINGS = 8  # of the delay between connection attempts
 
 
 @dataclass(frozen=True, slots=True)
 class HolderRules:
-    """Times in nanoseconds."""
+    """Timing and size limits of a holder."""
 
-    silence: int = 12 * SECOND  # without a frame from the distributor
-    hello_after: int = 3 * SECOND  # a hello without an answer is sent again
-    behind_most: int = 10 * SECOND  # how long a distributor may lie behind
-    request_after: int = 3 * SECOND  # a request without an answer is sent again
-    connect_pause: int = (
-        SECOND // 2
-    )  # before the next connection; twice as long after each that served nothing
-    connect_pause_most: int = 5 * SECOND
-    distrust: int = 600 * SECOND
-    partitions_most: int = 4_096
-    partition_bytes_most: int = 4 << 20  # of a snapshot
+    distributor_timeout_ns: int = 12 * SECOND  # without a frame from the distributor before leaving it
+    hello_retry_interval_ns: int = 3 * SECOND  # while a hello is unanswered
+    max_behind_ns: int = 10 * SECOND  # how long a distributor may be behind the store
+    request_retry_interval_ns: int = 3 * SECOND  # while a request is unanswered
+    min_connect_back_off_ns: int = SECOND // 2  # doubled after each connection without a status
+    max_connect_back_off_ns: int = 5 * SECOND
+    distrust_period_ns: int = 600 * SECOND
+    max_partitions: int = 4_096
+    max_partition_bytes: int = 4 << 20  # of a snapshot's keys and values
 
 
 @dataclass(frozen=True, slots=True)
 class StoredReplica:
-    """A partition as it is in the folder."""
+    """A partition as stored in the relay's folder."""
 
     version: int
     digest: int
@@ -88,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteDelta:
-    """Add these edits to the partition in the folder, with its new version and digest."""
+    """Write: apply edits to the stored partition and set its new version and digest."""
 
     partition: int
     version: int
@@ -98,7 +105,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteReplica:
-    """Replace the partition in the folder."""
+    """Write: replace the stored partition."""
 
     partition: int
     replica: StoredReplica
@@ -106,14 +113,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RemoveReplica:
-    """The partition is another relay's now."""
+    """Write: remove the stored partition, which is no longer assigned to this relay."""
 
     partition: int
 
 
 @dataclass(frozen=True, slots=True)
 class WriteAssignment:
-    """Which partitions are this relay's."""
+    """Write: store which partitions are assigned to this relay."""
 
     version: int
     partitions: tuple[int, ...]
@@ -123,27 +130,27 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WordRequest:
-    """Ask the register for its digest of a partition at a version; the answer goes to `Holder.word`."""
+class DigestRequest:
+    """Query the store's digest of a partition at a version; answer by `Holder.receive_store_digest`."""
 
     partition: int
     version: int
 
 
 @dataclass(slots=True)
-class Step:
-    """What the caller has to do now, in this order."""
+class HolderActions:
+    """Actions that the caller has to carry out, in this order."""
 
     writes: list[Write] = field(default_factory=list)
-    connect: str | None = None  # drop the connection at hand and connect to this distributor
+    connect_to: str | None = None  # close the current connection and connect to this distributor
     frames: list[bytes] = field(default_factory=list)  # to the distributor, after the writes
-    words: list[WordRequest] = field(default_factory=list)
+    digest_requests: list[DigestRequest] = field(default_factory=list)
     events: list[Event] = field(default_factory=list)
 
 
 @dataclass(frozen=True, slots=True)
 class Dispute:
-    """A digest that a distributor gave and the register is asked about."""
+    """A distributor's digest that is being checked with the configuration store."""
 
     version: int
     digest: int
@@ -151,39 +158,49 @@
 
 
 class Replica:
-    """One partition that is held."""
-
-    __slots__ = ("digest", "dispute", "entries", "request_at", "required", "source", "version", "whole")
+    """State of one partition held by the relay."""
+
+    __slots__ = (
+        "digest",
+        "dispute",
+        "entries",
+        "retry_at",
+        "required_digest",
+        "source",
+        "version",
+        "requested_full",
+    )
 
     def __init__(self, stored: StoredReplica) -> None:
         self.version = stored.version
         self.digest = stored.digest
         self.entries = stored.entries
-        self.source = "folder"  # who gave the version held
-        self.request_at = NEVER  # when an open request is sent again
-        self.whole = False  # the open request is for all entries
-        self.dispute: Dispute | None = None  # the register is asked
-        self.required: int | None = None  # the register's digest at the version held, where ours was wrong
+        self.source = "folder"  # where the version held came from: the folder or a distributor's name
+        self.retry_at = NEVER  # when the open request is repeated
+        self.requested_full = False  # whether the open request is for all entries
+        self.dispute: Dispute | None = None  # while the store's digest is requested
+        # The store's digest at the version held, if the replica's digest was wrong.
+        self.required_digest: int | None = None
 
 
 @dataclass(slots=True)
-class Assembly:
-    """A snapshot of which some chunks have come."""
+class SnapshotAssembly:
+    """A snapshot of which some chunks have been received."""
 
     version: int
     digest: int
-    count: int
+    chunk_count: int
     chunks: dict[int, tuple[Edit, ...]] = field(default_factory=dict)
-    size: int = 0
+    size_bytes: int = 0
 
 
 class Holder:
-    """One relay's configuration."""
+    """The configuration replicas of one relay, kept current through one distributor at a time."""
 
     def __init__(
         self,
         name: str,
-        session: int,
+        session_number: int,
         distributors: Iterable[str],
         rules: HolderRules,
         now: int,
@@ -191,367 +208,402 @@
         stored: Mapping[int, StoredReplica] | None = None,
     ) -> None:
         self.name = name
-        self.session = session  # higher than in any earlier start
+        self.session_number = session_number  # must exceed all session numbers of earlier starts
         self.rules = rules
-        self.assignment = 0
+        self.assignment_version = 0
         self.replicas: dict[int, Replica] = {}
         self.distributor = ""
         self.connected = self._connecting = False
-        self.counts: Counter[str] = Counter()
-        self._order = sorted(distributors, key=lambda one: xxh3_64_intdigest(f"{name}\0{one}".encode()))
-        self._distrusted: dict[str, int] = {}
-        self._assemblies: dict[int, Assembly] = {}
-        self._pending: set[int] = set()  # partitions with an open request or dispute
-        self._answered = False
-        self._hello_at = NEVER
-        self._heard_at = now
+        self.event_counts: Counter[str] = Counter()
+        self._distributor_order = sorted(
+            distributors, key=lambda distributor: xxh3_64_intdigest(f"{name}\0{distributor}".encode())
+        )
+        self._distrusted_until: dict[str, int] = {}
+        self._assemblies: dict[int, SnapshotAssembly] = {}
+        self._pending_partitions: set[int] = set()  # partitions with an open request or dispute
+        self._hello_answered = False
+        self._hello_retry_at = NEVER
+        self._last_received_at = now
         self._behind_since = NEVER
         self._connect_at = now
-        self._vain_connections = 0  # in a row
+        self._failed_connections = 0  # consecutive ones without a status
         self._known_version = 0
-        self._output = Step()
+        self._actions = HolderActions()
         if assignment is not None:
-            self._restore(assignment, stored or {})
+            self._restore_replicas(assignment, stored or {})
 
-    # --- calls
+    # --- inputs
 
-    def assign(self, now: int, version: int, partitions: Iterable[int]) -> None:
-        """These are the partitions from this version of the assignment on; older versions change nothing."""
-        if self._assign(version, partitions) and self.connected:
-            self._say_hello(now)  # the distributor may have missed that a partition went and came back
+    def update_assignment(self, now: int, version: int, partitions: Iterable[int]) -> None:
+        """Set the relay's partitions as of an assignment version; older versions are ignored."""
+        if self._replace_assignment(version, partitions) and self.connected:
+            # The distributor may have missed that a partition was removed and reassigned.
+            self._send_hello(now)
 
-    def connection_up(self, now: int, distributor: str) -> None:
-        """A connection to a distributor stands."""
+    def handle_connection_up(self, now: int, distributor: str) -> None:
+        """Start a session on a new connection to a distributor."""
         if distributor != self.distributor:
             return
         self.connected = True
         self._connecting = False
-        self._answered = False
-        self._heard_at = now
+        self._hello_answered = False
+        self._last_received_at = now
         self._behind_since = NEVER
-        self._say_hello(now)
+        self._send_hello(now)
 
-    def connection_down(self, now: int, distributor: str) -> None:
-        """A connection is down or could not be made."""
+    def handle_connection_down(self, now: int, distributor: str) -> None:
+        """Leave a distributor whose connection was lost or could not be made."""
         if distributor == self.distributor and (self.connected or self._connecting):
-            self._leave(now, "the connection is down")
+            self._leave_distributor(now, "connection lost")
 
-    def receive(self, now: int, distributor: str, frame: bytes) -> None:
-        """A frame from the distributor."""
+    def receive_frame(self, now: int, distributor: str, frame: bytes) -> None:
+        """Handle a frame from the distributor."""
         if distributor != self.distributor or not self.connected:
             return
-        self._heard_at = now
+        self._last_received_at = now
         try:
             message = decode_frame(frame)
         except UnreadableFrame:
-            self._refuse(-1, 0, RefusalReason.UNREADABLE)
+            self._emit_refusal(-1, 0, RefusalReason.UNREADABLE)
             return
-        self._take(now, message)
+        self._handle_message(now, message)
 
-    def word(self, now: int, number: int, version: int, digest: int | None) -> None:
-        """The register's digest of a partition at a version; None where it no longer knows."""
-        replica = self.replicas.get(number)
+    def receive_store_digest(self, now: int, partition_id: int, version: int, digest: int | None) -> None:
+        """Resolve a dispute by the store's digest at a version; None if the store no longer has it."""
+        replica = self.replicas.get(partition_id)
         if replica is None or replica.dispute is None or replica.dispute.version != version:
             return
         dispute, replica.dispute = replica.dispute, None
-        replica.request_at = NEVER
-        self._pending.discard(number)
+        replica.retry_at = NEVER
+        self._pending_partitions.discard(partition_id)
         if digest is not None:
-            self._settle(now, number, replica, dispute, digest)
+            self._resolve_dispute(now, partition_id, replica, dispute, digest)
 
-    def tick(self, now: int) -> None:
-        """Time has passed; to be called at `wake_at`."""
+    def advance_time(self, now: int) -> None:
+        """Handle expired timers; call it at `get_next_wake_time`."""
         if not self.connected:
             if now >= self._connect_at:
-                self._connect(now)
+                self._connect_next(now)
             return
-        if now - self._heard_at >= self.rules.silence:
-            self._leave(now, "it is silent")
-        elif now - self._behind_since >= self.rules.behind_most:
-            self._leave(now, "it lies behind")
-        elif not self._answered and now >= self._hello_at:
-            self._say_hello(now)
+        if now - self._last_received_at >= self.rules.distributor_timeout_ns:
+            self._leave_distributor(now, "distributor timed out")
+        elif now - self._behind_since >= self.rules.max_behind_ns:
+            self._leave_distributor(now, "distributor is behind the store")
+        elif not self._hello_answered and now >= self._hello_retry_at:
+            self._send_hello(now)
         else:
-            self._repeat_requests(now)
+            self._retry_requests(now)
 
-    def step(self) -> Step:
-        """What is to be done, once."""
-        output, self._output = self._output, Step()
-        return output
+    def take_actions(self) -> HolderActions:
+        """Return the actions collected since the last call."""
+        actions, self._actions = self._actions, HolderActions()
+        return actions
 
-    def wake_at(self) -> int:
-        """When `tick` has something to do."""
+    def get_next_wake_time(self) -> int:
+        """Return when `advance_time` has to be called next."""
         if not self.connected:
             return self._connect_at
-        times = [self._heard_at + self.rules.silence]
+        times = [self._last_received_at + self.rules.distributor_timeout_ns]
         if self._behind_since != NEVER:
-            times.append(self._behind_since + self.rules.behind_most)
-        if not self._answered:
-            times.append(self._hello_at)
-        times.extend(self.replicas[number].request_at for number in self._pending)
+            times.append(self._behind_since + self.rules.max_behind_ns)
+        if not self._hello_answered:
+            times.append(self._hello_retry_at)
+        times.extend(self.replicas[partition_id].retry_at for partition_id in self._pending_partitions)
         return min(times)
 
-    # --- inside: assignment and connections
+    # --- assignment and connections
 
-    def _assign(self, version: int, partitions: Iterable[int]) -> bool:
-        wanted = frozenset(partitions)
-        if version <= self.assignment or len(wanted) > self.rules.partitions_most:
+    def _replace_assignment(self, version: int, partitions: Iterable[int]) -> bool:
+        """Adopt a newer assignment; return False if it is not newer or has too many partitions."""
+        assigned = frozenset(partitions)
+        if version <= self.assignment_version or len(assigned) > self.rules.max_partitions:
             return False
-        self.assignment = version
-        for number in sorted(self.replicas.keys() - wanted):
-            del self.replicas[number]
-            self._assemblies.pop(number, None)
-            self._pending.discard(number)
-            self._output.writes.append(RemoveReplica(number))
-        for number in sorted(wanted - self.replicas.keys()):
-            self.replicas[number] = Replica(StoredReplica(0, 0, {}))
-        self._output.writes.append(WriteAssignment(version, tuple(sorted(wanted))))
+        self.assignment_version = version
+        for partition_id in sorted(self.replicas.keys() - assigned):
+            del self.replicas[partition_id]
+            self._assemblies.pop(partition_id, None)
+            self._pending_partitions.discard(partition_id)
+            self._actions.writes.append(RemoveReplica(partition_id))
+        for partition_id in sorted(assigned - self.replicas.keys()):
+            self.replicas[partition_id] = Replica(StoredReplica(0, 0, {}))
+        self._actions.writes.append(WriteAssignment(version, tuple(sorted(assigned))))
         return True
 
-    def _restore(self, assignment: WriteAssignment, stored: Mapping[int, StoredReplica]) -> None:
-        """Take over what the folder holds; what does not have its digest is fetched again."""
-        self.assignment = assignment.version
-        for number in assignment.partitions:
-            replica = stored.get(number, StoredReplica(0, 0, {}))
-            if digest_of(replica.entries) != replica.digest:
-                self._say(StoredPartitionRefused(number, replica.version))
-                self._output.writes.append(RemoveReplica(number))
+    def _restore_replicas(self, assignment: WriteAssignment, stored: Mapping[int, StoredReplica]) -> None:
+        """Load the stored replicas; those that do not match their digests are removed and fetched again."""
+        self.assignment_version = assignment.version
+        for partition_id in assignment.partitions:
+            replica = stored.get(partition_id, StoredReplica(0, 0, {}))
+            if compute_digest(replica.entries) != replica.digest:
+                self._emit_event(StoredPartitionRefused(partition_id, replica.version))
+                self._actions.writes.append(RemoveReplica(partition_id))
                 replica = StoredReplica(0, 0, {})
-            self.replicas[number] = Replica(replica)
-
-    def _connect(self, now: int) -> None:
-        """To the first distributor in this relay's order that is not avoided, after the one left."""
-        start = self._order.index(self.distributor) + 1 if self.distributor else 0
-        candidates = self._order[start:] + self._order[:start]
-        trusted = [one for one in candidates if self._distrusted.get(one, 0) <= now]
+            self.replicas[partition_id] = Replica(replica)
+
+    def _connect_next(self, now: int) -> None:
+        """Connect to the next distributor in order, skipping distrusted ones unless all are distrusted."""
+        start = self._distributor_order.index(self.distributor) + 1 if self.distributor else 0
+        candidates = self._distributor_order[start:] + self._distributor_order[:start]
+        trusted = [
+            distributor for distributor in candidates if self._distrusted_until.get(distributor, 0) <= now
+        ]
         self.distributor = (trusted or candidates)[0]
-        self._connect_at = now + self.rules.silence  # where no word of the connection comes
+        # For the case that the caller never reports how the attempt ended.
+        self._connect_at = now + self.rules.distributor_timeout_ns
         self._connecting = True
-        self._output.connect = self.distributor
+        self._actions.connect_to = self.distributor
 
-    def _leave(self, now: int, reason: str) -> None:
-        self._say(DistributorLeft(self.distributor, reason))
+    def _leave_distributor(self, now: int, reason: str) -> None:
+        """Drop the current distributor and schedule the next connection attempt."""
+        self._emit_event(DistributorLeft(self.distributor, reason))
         self.connected = self._connecting = False
         self._assemblies.clear()
         self._connect_at = now + min(
-            self.rules.connect_pause << self._vain_connections, self.rules.connect_pause_most
+            self.rules.min_connect_back_off_ns << self._failed_connections, self.rules.max_connect_back_off_ns
         )
-        self._vain_connections = min(self._vain_connections + 1, DOUBLINGS_MOST)
+        self._failed_connections = min(self._failed_connections + 1, MAX_BACK_OFF_DOUBLINGS)
 
-    def _say_hello(self, now: int) -> None:
-        self.session += 1
-        self._hello_at = now + self.rules.hello_after
+    def _send_hello(self, now: int) -> None:
+        self.session_number += 1
+        self._hello_retry_at = now + self.rules.hello_retry_interval_ns
         held = tuple(
-            Held(number, replica.version, replica.digest) for number, replica in self.replicas.items()
+            HeldPartition(partition_id, replica.version, replica.digest)
+            for partition_id, replica in self.replicas.items()
         )
-        self._send(Hello(self.name, self.session, self.assignment, held))
+        self._send_message(Hello(self.name, self.session_number, self.assignment_version, held))
 
-    # --- inside: messages
+    # --- messages
 
-    def _take(self, now: int, message: Message) -> None:
+    def _handle_message(self, now: int, message: Message) -> None:
         if isinstance(message, Delta):
-            self._take_delta(now, message)
+            self._handle_delta(now, message)
         elif isinstance(message, Chunk):
-            self._take_chunk(now, message)
+            self._handle_chunk(now, message)
         elif isinstance(message, Status):
-            self._take_status(now, message)
+            self._handle_status(now, message)
         elif isinstance(message, Assign):
-            self._assign(message.version, message.partitions)
+            self._replace_assignment(message.version, message.partitions)
         elif isinstance(message, Disagreement):
-            self._take_disagreement(now, message)
+            self._handle_disagreement(now, message)
         elif isinstance(message, Unavailable):
-            self._leave(now, message.reason)
-
-    def _take_status(self, now: int, status: Status) -> None:
-        self._answered = True
-        self._vain_connections = 0
-        behind = status.behind or status.version < self._known_version or status.assignment < self.assignment
+            self._leave_distributor(now, message.reason)
+
+    def _handle_status(self, now: int, status: Status) -> None:
+        self._hello_answered = True
+        self._failed_connections = 0
+        behind = (
+            status.behind
+            or status.version < self._known_version
+            or status.assignment_version < self.assignment_version
+        )
         self._known_version = max(self._known_version, status.version)
         if not behind:
             self._behind_since = NEVER
         elif self._behind_since == NEVER:
             self._behind_since = now
-        if status.assignment > self.assignment:
-            self._say_hello(now)  # the assignment was lost on its way
+        if status.assignment_version > self.assignment_version:
+            self._send_hello(now)  # the Assign message was lost
 
-    def _take_delta(self, now: int, delta: Delta) -> None:
+    def _handle_delta(self, now: int, delta: Delta) -> None:
         replica = self.replicas.get(delta.partition)
         if replica is None:
             return
         if delta.version < replica.version:
-            self._acknowledge(delta.partition, replica)
+            self._send_acknowledgement(delta.partition, replica)
         elif delta.version == replica.version:
-            self._take_same_version(now, delta.partition, replica, delta.version, delta.digest)
-        elif delta.previous > replica.version:
-            self._say(GapFound(self.distributor, delta.partition, replica.version, delta.previous))
-            self._request(now, delta.partition, replica, whole=False)
+            self._handle_same_version(now, delta.partition, replica, delta.version, delta.digest)
+        elif delta.previous_version > replica.version:
+            self._emit_event(
+                GapFound(self.distributor, delta.partition, replica.version, delta.previous_version)
+            )
+            self._send_request(now, delta.partition, replica, full=False)
         else:
             self._apply_delta(now, replica, delta)
 
     def _apply_delta(self, now: int, replica: Replica, delta: Delta) -> None:
-        """Edits are absolute, so a delta fits any version from its first to its last."""
-        number = delta.partition
-        if replica.required is not None or not distinct_keys(delta.edits):
-            self._refuse(number, delta.version, RefusalReason.DISPUTED)
+        """Apply a delta; edits are absolute, so it fits any version from its first to its last."""
+        partition_id = delta.partition
+        if replica.required_digest is not None or not has_distinct_keys(delta.edits):
+            self._emit_refusal(partition_id, delta.version, RefusalReason.DISPUTED)
             return
-        if digest_after(replica.entries, replica.digest, delta.edits) != delta.digest:
-            self._refuse(number, delta.version, RefusalReason.DIGEST)
-            self._dispute(now, number, replica, delta.version, delta.digest)
+        if compute_digest_after(replica.entries, replica.digest, delta.edits) != delta.digest:
+            self._emit_refusal(partition_id, delta.version, RefusalReason.DIGEST)
+            self._open_dispute(now, partition_id, replica, delta.version, delta.digest)
             return
         apply_edits(replica.entries, delta.edits)
-        self._output.writes.append(WriteDelta(number, delta.version, delta.digest, delta.edits))
-        self._in_force(number, replica, delta.version, delta.digest)
+        self._actions.writes.append(WriteDelta(partition_id, delta.version, delta.digest, delta.edits))
+        self._mark_in_force(partition_id, replica, delta.version, delta.digest)
 
-    def _take_same_version(self, now: int, number: int, replica: Replica, version: int, digest: int) -> None:
+    def _handle_same_version(
+        self, now: int, partition_id: int, replica: Replica, version: int, digest: int
+    ) -> None:
+        """Acknowledge a message for the version held, or open a dispute if the digests differ."""
         if digest == replica.digest:
-            self._acknowledge(number, replica)
+            self._send_acknowledgement(partition_id, replica)
             return
-        self._refuse(number, version, RefusalReason.DISPUTED)
-        self._dispute(now, number, replica, version, digest)
+        self._emit_refusal(partition_id, version, RefusalReason.DISPUTED)
+        self._open_dispute(now, partition_id, replica, version, digest)
 
-    def _take_chunk(self, now: int, chunk: Chunk) -> None:
-        number = chunk.partition
-        replica = self.replicas.get(number)
+    def _handle_chunk(self, now: int, chunk: Chunk) -> None:
+        partition_id = chunk.partition
+        replica = self.replicas.get(partition_id)
         if replica is None:
             return
-        if chunk.version < replica.version or (chunk.version == replica.version and replica.required is None):
-            self._take_needless_chunk(now, number, replica, chunk)
+        if chunk.version < replica.version or (
+            chunk.version == replica.version and replica.required_digest is None
+        ):
+            self._handle_redundant_chunk(now, partition_id, replica, chunk)
             return
-        assembly = self._assemblies.get(number)
+        assembly = self._assemblies.get(partition_id)
         if assembly is None or assembly.version < chunk.version:
-            assembly = self._assemblies[number] = Assembly(chunk.version, chunk.digest, chunk.count)
-        if not self._fits(assembly, chunk):
-            del self._assemblies[number]
-            self._refuse(number, chunk.version, RefusalReason.DIGEST)
-            self._request(now, number, replica, whole=True)
+            assembly = self._assemblies[partition_id] = SnapshotAssembly(
+                chunk.version, chunk.digest, chunk.chunk_count
+            )
+        if not self._belongs_to_assembly(assembly, chunk):
+            del self._assemblies[partition_id]
+            self._emit_refusal(partition_id, chunk.version, RefusalReason.DIGEST)
+            self._send_request(now, partition_id, replica, full=True)
             return
         if chunk.version > assembly.version or chunk.index in assembly.chunks:
             return
         assembly.chunks[chunk.index] = chunk.entries
-        assembly.size += sum(len(edit.key) + len(edit.value or b"") for edit in chunk.entries)
-        replica.request_at = now + self.rules.request_after  # the answer is under way
-        if len(assembly.chunks) == assembly.count:
-            del self._assemblies[number]
-            self._install(now, number, replica, assembly)
-
-    def _take_needless_chunk(self, now: int, number: int, replica: Replica, chunk: Chunk) -> None:
+        assembly.size_bytes += sum(len(edit.key) + len(edit.value or b"") for edit in chunk.entries)
+        replica.retry_at = now + self.rules.request_retry_interval_ns  # the answer is arriving
+        if len(assembly.chunks) == assembly.chunk_count:
+            del self._assemblies[partition_id]
+            self._install_snapshot(now, partition_id, replica, assembly)
+
+    def _handle_redundant_chunk(self, now: int, partition_id: int, replica: Replica, chunk: Chunk) -> None:
+        """Answer a chunk of a version that is already held."""
         if chunk.version == replica.version:
-            self._take_same_version(now, number, replica, chunk.version, chunk.digest)
+            self._handle_same_version(now, partition_id, replica, chunk.version, chunk.digest)
         else:
-            self._acknowledge(number, replica)
+            self._send_acknowledgement(partition_id, replica)
 
-    def _fits(self, assembly: Assembly, chunk: Chunk) -> bool:
-        """Whether a chunk can be of this snapshot; older snapshots' late chunks pass and are not used."""
+    def _belongs_to_assembly(self, assembly: SnapshotAssembly, chunk: Chunk) -> bool:
+        """Whether a chunk can be part of this snapshot; late chunks of older ones pass and are not used."""
         if chunk.version < assembly.version:
             return True
         return (
-            (assembly.digest, assembly.count) == (chunk.digest, chunk.count)
-            and 0 <= chunk.index < chunk.count
-            and assembly.size <= self.rules.partition_bytes_most
+            (assembly.digest, assembly.chunk_count) == (chunk.digest, chunk.chunk_count)
+            and 0 <= chunk.index < chunk.chunk_count
+            and assembly.size_bytes <= self.rules.max_partition_bytes
         )
 
-    def _install(self, now: int, number: int, replica: Replica, assembly: Assembly) -> None:
+    def _install_snapshot(
+        self, now: int, partition_id: int, replica: Replica, assembly: SnapshotAssembly
+    ) -> None:
+        """Replace a replica by a complete snapshot; refuse it if its digest is wrong."""
         entries = {
             edit.key: edit.value
-            for index in range(assembly.count)
+            for index in range(assembly.chunk_count)
             for edit in assembly.chunks[index]
             if edit.value is not None
         }
-        wrong_word = (
+        contradicts_store = (
             assembly.version == replica.version
-            and replica.required is not None
-            and assembly.digest != replica.required
+            and replica.required_digest is not None
+            and assembly.digest != replica.required_digest
         )
-        if wrong_word or digest_of(entries) != assembly.digest:
-            reason = RefusalReason.DISPUTED if wrong_word else RefusalReason.DIGEST
-            self._refuse(number, assembly.version, reason)
-            self._distrust(now, self.distributor, number, assembly.version)
+        if contradicts_store or compute_digest(entries) != assembly.digest:
+            reason = RefusalReason.DISPUTED if contradicts_store else RefusalReason.DIGEST
+            self._emit_refusal(partition_id, assembly.version, reason)
+            self._distrust_distributor(now, self.distributor, partition_id, assembly.version)
             return
         replica.entries = entries
-        self._output.writes.append(
-            WriteReplica(number, StoredReplica(assembly.version, assembly.digest, dict(entries)))
+        self._actions.writes.append(
+            WriteReplica(partition_id, StoredReplica(assembly.version, assembly.digest, dict(entries)))
+        )
+        self._mark_in_force(partition_id, replica, assembly.version, assembly.digest)
+        self._request_store_digest(
+            now, partition_id, replica, Dispute(assembly.version, assembly.digest, self.distributor)
         )
-        self._in_force(number, replica, assembly.version, assembly.digest)
-        self._ask_register(now, number, replica, Dispute(assembly.version, assembly.digest, self.distributor))
 
-    def _in_force(self, number: int, replica: Replica, version: int, digest: int) -> None:
+    def _mark_in_force(self, partition_id: int, replica: Replica, version: int, digest: int) -> None:
+        """Record the version now held, which ends any open request or dispute, and acknowledge it."""
         replica.version = version
         replica.digest = digest
         replica.source = self.distributor
-        replica.required = None
+        replica.required_digest = None
         replica.dispute = None
-        replica.request_at = NEVER
-        self._pending.discard(number)
+        replica.retry_at = NEVER
+        self._pending_partitions.discard(partition_id)
         self._known_version = max(self._known_version, version)
-        self._acknowledge(number, replica)
+        self._send_acknowledgement(partition_id, replica)
 
-    def _acknowledge(self, number: int, replica: Replica) -> None:
-        if replica.required is None:
-            self._send(Acknowledge(number, replica.version))
+    def _send_acknowledgement(self, partition_id: int, replica: Replica) -> None:
+        if replica.required_digest is None:
+            self._send_message(Acknowledgement(partition_id, replica.version))
 
-    # --- inside: requests and disputes
+    # --- requests and disputes
 
-    def _request(self, now: int, number: int, replica: Replica, whole: bool) -> None:
-        """Ask for what is missing; while an answer is awaited nothing is asked again."""
-        if replica.request_at != NEVER and replica.request_at > now and whole <= replica.whole:
+    def _send_request(self, now: int, partition_id: int, replica: Replica, full: bool) -> None:
+        """Request missing changes or all entries, unless the same or more is already requested."""
+        if replica.retry_at != NEVER and replica.retry_at > now and full <= replica.requested_full:
             return
-        replica.request_at = now + self.rules.request_after
-        replica.whole = whole
-        self._pending.add(number)
-        self._send(Request(number, replica.version, whole))
-
-    def _repeat_requests(self, now: int) -> None:
-        for number in sorted(self._pending):
-            replica = self.replicas[number]
-            if replica.request_at > now:
+        replica.retry_at = now + self.rules.request_retry_interval_ns
+        replica.requested_full = full
+        self._pending_partitions.add(partition_id)
+        self._send_message(PartitionRequest(partition_id, replica.version, full))
+
+    def _retry_requests(self, now: int) -> None:
+        for partition_id in sorted(self._pending_partitions):
+            replica = self.replicas[partition_id]
+            if replica.retry_at > now:
                 continue
             if replica.dispute is not None:
-                self._ask_register(now, number, replica, replica.dispute)
+                self._request_store_digest(now, partition_id, replica, replica.dispute)
             else:
-                self._request(now, number, replica, replica.whole or replica.required is not None)
+                self._send_request(
+                    now, partition_id, replica, replica.requested_full or replica.required_digest is not None
+                )
 
-    def _take_disagreement(self, now: int, message: Disagreement) -> None:
+    def _handle_disagreement(self, now: int, message: Disagreement) -> None:
         replica = self.replicas.get(message.partition)
         if replica is not None and replica.version == message.version and replica.digest != message.digest:
-            self._refuse(message.partition, message.version, RefusalReason.DISPUTED)
-            self._dispute(now, message.partition, replica, message.version, message.digest)
+            self._emit_refusal(message.partition, message.version, RefusalReason.DISPUTED)
+            self._open_dispute(now, message.partition, replica, message.version, message.digest)
 
-    def _dispute(self, now: int, number: int, replica: Replica, version: int, digest: int) -> None:
-        if replica.dispute is not None or replica.required is not None:
+    def _open_dispute(self, now: int, partition_id: int, replica: Replica, version: int, digest: int) -> None:
+        """Request the store's digest to settle a mismatch, unless one is being settled already."""
+        if replica.dispute is not None or replica.required_digest is not None:
             return
-        self._say(DistributorsDisagree(number, version, replica.source, self.distributor))
-        self._ask_register(now, number, replica, Dispute(version, digest, self.distributor))
+        self._emit_event(DigestsDisagree(partition_id, version, replica.source, self.distributor))
+        self._request_store_digest(now, partition_id, replica, Dispute(version, digest, self.distributor))
 
-    def _ask_register(self, now: int, number: int, replica: Replica, dispute: Dispute) -> None:
+    def _request_store_digest(self, now: int, partition_id: int, replica: Replica, dispute: Dispute) -> None:
+        """Request the store's digest for a dispute; repeated until it is answered."""
         replica.dispute = dispute
-        replica.request_at = now + self.rules.request_after
-        self._pending.add(number)
-        self._output.words.append(WordRequest(number, dispute.version))
+        replica.retry_at = now + self.rules.request_retry_interval_ns
+        self._pending_partitions.add(partition_id)
+        self._actions.digest_requests.append(DigestRequest(partition_id, dispute.version))
 
-    def _settle(self, now: int, number: int, replica: Replica, dispute: Dispute, digest: int) -> None:
-        """The register's word decides who was wrong: the distributor, the replica held, or both."""
+    def _resolve_dispute(
+        self, now: int, partition_id: int, replica: Replica, dispute: Dispute, digest: int
+    ) -> None:
+        """Act on the store's digest: the distributor, the replica held, or both can be wrong."""
         if dispute.digest != digest:
-            self._distrust(now, dispute.distributor, number, dispute.version)
+            self._distrust_distributor(now, dispute.distributor, partition_id, dispute.version)
         if dispute.version == replica.version and digest != replica.digest:
-            replica.required = digest
-            self._say(ReplicaReplaced(number, replica.version))
-            self._request(now, number, replica, whole=True)
+            replica.required_digest = digest
+            self._emit_event(ReplicaReplaced(partition_id, replica.version))
+            self._send_request(now, partition_id, replica, full=True)
         elif dispute.version > replica.version and dispute.digest == digest:
-            self._request(now, number, replica, whole=True)
+            self._send_request(now, partition_id, replica, full=True)
 
-    def _distrust(self, now: int, distributor: str, number: int, version: int) -> None:
-        self._distrusted[distributor] = now + self.rules.distrust
-        self._say(DistributorDistrusted(distributor, number, version))
+    def _distrust_distributor(self, now: int, distributor: str, partition_id: int, version: int) -> None:
+        self._distrusted_until[distributor] = now + self.rules.distrust_period_ns
+        self._emit_event(DistributorDistrusted(distributor, partition_id, version))
         if distributor == self.distributor:
-            self._leave(now, "it is distrusted")
+            self._leave_distributor(now, "distributor is distrusted")
 
-    def _refuse(self, number: int, version: int, reason: RefusalReason) -> None:
-        self._say(ChangeRefused(self.distributor, number, version, reason))
+    def _emit_refusal(self, partition_id: int, version: int, reason: RefusalReason) -> None:
+        self._emit_event(ChangeRefused(self.distributor, partition_id, version, reason))
 
-    def _send(self, message: Message) -> None:
+    def _send_message(self, message: Message) -> None:
         if self.connected:
-            self._output.frames.append(encode_frame(message))
+            self._actions.frames.append(encode_frame(message))
 
-    def _say(self, event: Event) -> None:
-        self.counts[type(event).__name__] += 1
-        self._output.events.append(event)
+    def _emit_event(self, event: Event) -> None:
+        self.event_counts[type(event).__name__] += 1
+        self._actions.events.append(event)
--- a/millweir/configuration/messages.py
+++ b/millweir/configuration/messages.py
@@ -1,8 +1,8 @@
-"""What register, distributors and relays tell each other: MessagePack arrays behind a checksum.
+"""Messages between configuration store, distributors, relays and coordinator, and their encoding.
 
-A frame is eight bytes of xxh3_64 over the body, then the body, a tagged array.  New fields go to the end and
-have a default.  Versions are global: each change of the configuration has the next whole number, and a
-partition's version is that of the last change that fell into it.
+A frame is an eight-byte xxh3_64 checksum of the body, then the body: a tagged MessagePack array. New fields
+are appended at the end and have a default. Versions are global: each change of the configuration has the next
+integer, and a partition's version is that of its latest change.
 """
 
 from __future__ import annotations
@@ -12,35 +12,35 @@
 import msgspec
 from xxhash import xxh3_64_digest
 
-CHECKSUM_LENGTH = 8
-FRAME_MOST = 65_536  # bytes; longer ones are refused unread
-NAME_MOST = 64
-KEY_MOST = 256
-VALUE_MOST = 1_024
-ENTRY_OVERHEAD = 8  # bytes that MessagePack adds to a key with its value, at the most
-CHANGE_BYTES_MOST = 2_000  # of one change's edits; the register splits larger ones
-CAUGHT_UP = -1  # Row.floor: the relay lacks nothing that its distributor has
+CHECKSUM_BYTES = 8
+MAX_FRAME_BYTES = 65_536  # longer frames are refused without decoding
+MAX_RELAY_NAME_LENGTH = 64
+MAX_KEY_BYTES = 256
+MAX_VALUE_BYTES = 1_024
+ENTRY_OVERHEAD_BYTES = 8  # upper bound of what MessagePack adds to a key and its value
+MAX_CHANGE_BYTES = 2_000  # of one change's edits; the store splits larger changes
+CAUGHT_UP = -1  # RelayProgress: the relay has everything that its distributor has
 
 
 class Edit(msgspec.Struct, array_like=True, frozen=True):
-    """One entry's new value; None removes it."""
+    """A new value of one entry, or its removal if the value is None."""
 
     key: bytes
     value: bytes | None
 
 
 class Change(msgspec.Struct, array_like=True, frozen=True):
-    """A change as the register gives it, in order: versions have no gaps, partitions' versions chain."""
+    """A change from the store; versions have no gaps, and each change names its partition's previous one."""
 
     version: int
     partition: int
-    previous: int  # the partition's version before
+    previous_version: int  # the partition's version before the change
     edits: tuple[Edit, ...]
-    digest: int  # of the partition's entries after it
+    digest: int  # of the partition's entries after the change
 
 
-class Held(msgspec.Struct, array_like=True, frozen=True):
-    """One partition in a relay's folder."""
+class HeldPartition(msgspec.Struct, array_like=True, frozen=True):
+    """Version and digest of one partition held by a relay."""
 
     partition: int
     version: int
@@ -48,115 +48,125 @@
 
 
 class Hello(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """Relay to distributor, first on each connection: who it is and what it holds."""
+    """Relay to distributor, first on each connection: the relay's name and what it holds."""
 
     relay: str
-    session: int  # rises with each connection and each start
-    assignment: int  # the version of the assignment that it holds
-    held: tuple[Held, ...]
+    session_number: int  # increases with each hello and each start
+    assignment_version: int  # of the assignment that the relay holds
+    partitions: tuple[HeldPartition, ...]
 
 
-class Acknowledge(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    """Relay to distributor: the partition is written and in force at this version."""
+class Acknowledgement(msgspec.Struct, array_like=True, frozen=True, tag=2):
+    """Relay to distributor: the partition is stored and in force at this version."""
 
     partition: int
     version: int
 
 
-class Request(msgspec.Struct, array_like=True, frozen=True, tag=3):
-    """Relay to distributor: send the partition from this version on, or whole."""
+class PartitionRequest(msgspec.Struct, array_like=True, frozen=True, tag=3):
+    """Relay to distributor: request the changes of a partition after a version, or all its entries."""
 
     partition: int
     version: int
-    whole: bool
+    full: bool
 
 
 class Status(msgspec.Struct, array_like=True, frozen=True, tag=4):
-    """Distributor to relay: the answer to a hello, then now and again."""
+    """Distributor to relay: reply to a hello, then sent periodically."""
 
-    version: int  # the last change that the distributor has
-    assignment: int  # at which this relay's partitions were last changed
-    behind: bool  # it knows that the register is further, or has not heard it for long
+    version: int  # of the latest change that the distributor has
+    assignment_version: int  # at which this relay's partitions were last changed
+    behind: bool  # the store has later changes, or its heartbeats have timed out
 
 
 class Unavailable(msgspec.Struct, array_like=True, frozen=True, tag=5):
-    """Distributor to relay: go to another one."""
+    """Distributor to relay: the hello is refused, use another distributor."""
 
     reason: str
 
 
 class Assign(msgspec.Struct, array_like=True, frozen=True, tag=6):
-    """Distributor to relay: these partitions are yours."""
+    """Distributor to relay: the partitions assigned to the relay."""
 
     version: int
     partitions: tuple[int, ...]
 
 
 class Delta(msgspec.Struct, array_like=True, frozen=True, tag=7):
-    """All edits of a partition after `previous` up to `version`, the last of each key."""
+    """Edits of a partition after `previous_version` up to `version`, only the latest of each key."""
 
     partition: int
-    previous: int
+    previous_version: int
     version: int
     edits: tuple[Edit, ...]
     digest: int  # of the partition's entries at `version`
 
 
 class Chunk(msgspec.Struct, array_like=True, frozen=True, tag=8):
-    """A piece of a partition's snapshot."""
+    """A part of a partition's snapshot."""
 
     partition: int
     version: int
     index: int
-    count: int
+    chunk_count: int
     entries: tuple[Edit, ...]
     digest: int  # of the whole snapshot
 
 
 class Disagreement(msgspec.Struct, array_like=True, frozen=True, tag=9):
-    """Distributor to relay: at this version I hold other entries than you."""
+    """Distributor to relay: the digest held by the distributor at this version differs from the relay's."""
 
     partition: int
     version: int
     digest: int
 
 
-class Row(msgspec.Struct, array_like=True, frozen=True):
-    """How far one relay is, by its distributor."""
+class RelayProgress(msgspec.Struct, array_like=True, frozen=True):
+    """Row of a report: how far one relay has acknowledged changes."""
 
     relay: str
-    session: int
-    assigned: int  # the assignment's version at which this relay's partitions were last changed
+    session_number: int
+    assignment_version: int  # at which this relay's partitions were last changed
     attached: bool
-    floor: int  # all changes up to this one are acknowledged; CAUGHT_UP: all that the distributor has
+    # All changes up to this one are acknowledged; CAUGHT_UP: all that the distributor has.
+    acknowledged_version: int
 
 
 class Report(msgspec.Struct, array_like=True, frozen=True, tag=10):
-    """Distributor to coordinator: acknowledgements joined; rows that differ from the last report."""
+    """Distributor to coordinator: aggregated acknowledgements; rows that differ from the last report."""
 
     distributor: str
-    life: int  # rises with each start of the distributor
-    sequence: int  # rises by one with each report of a life
-    full: bool  # all rows; relays that have none are not attached
-    applied: int
-    rows: tuple[Row, ...]
+    incarnation: int  # increases with each start of the distributor
+    sequence: int  # increases by one with each report of an incarnation
+    full: bool  # has all rows: relays without one are not attached
+    applied_version: int  # of the latest change that the distributor has applied
+    rows: tuple[RelayProgress, ...]
 
 
 Message = (
-    Hello | Acknowledge | Request | Status | Unavailable | Assign | Delta | Chunk | Disagreement | Report
+    Hello
+    | Acknowledgement
+    | PartitionRequest
+    | Status
+    | Unavailable
+    | Assign
+    | Delta
+    | Chunk
+    | Disagreement
+    | Report
 )
 
 
 class RefusalReason(IntEnum):
-    """Why a message was refused."""
+    """Why a relay refused a message."""
 
-    UNREADABLE = 0  # checksum, form or length
-    DIGEST = 1  # the entries that it leads to have another digest than it says
-    DISPUTED = 2  # it contradicts what is held at the same version, or the register's word
+    UNREADABLE = 0  # wrong checksum, form or length
+    DIGEST = 1  # the resulting entries do not have the digest given
+    DISPUTED = 2  # contradicts the digest held at the same version, or the store's
 
 
 class UnreadableFrame(ValueError):
-    """A frame's checksum or form is wrong; nothing of it was taken in."""
+    """A frame has a wrong length, checksum or form; nothing of it was applied."""
 
 
 _encode = msgspec.msgpack.Encoder().encode
@@ -164,19 +174,19 @@
 
 
 def encode_frame(message: Message) -> bytes:
-    """A message as it is sent."""
+    """Encode a message as a checksummed frame."""
     body = _encode(message)
     return xxh3_64_digest(body) + body
 
 
 def decode_frame(frame: bytes) -> Message:
-    """The message in a frame; UnreadableFrame where anything of it is wrong."""
-    if not CHECKSUM_LENGTH < len(frame) <= FRAME_MOST:
-        raise UnreadableFrame(f"{len(frame)} bytes")
-    body = frame[CHECKSUM_LENGTH:]
-    if xxh3_64_digest(body) != frame[:CHECKSUM_LENGTH]:
-        raise UnreadableFrame("the checksum differs")
+    """Decode the message in a frame; raise `UnreadableFrame` if anything is wrong with it."""
+    if not CHECKSUM_BYTES < len(frame) <= MAX_FRAME_BYTES:
+        raise UnreadableFrame(f"{len(frame)} bytes: frame length out of bounds")
+    body = frame[CHECKSUM_BYTES:]
+    if xxh3_64_digest(body) != frame[:CHECKSUM_BYTES]:
+        raise UnreadableFrame("frame checksum mismatch")
     try:
         return _decode(body)
-    except msgspec.DecodeError as fault:
-        raise UnreadableFrame(str(fault)) from None
+    except msgspec.DecodeError as error:
+        raise UnreadableFrame(str(error)) from None
--- a/millweir/configuration/pacing.py
+++ b/millweir/configuration/pacing.py
@@ -1,33 +1,33 @@
-"""A token bucket over bytes, in whole numbers: time in nanoseconds is handed in."""
+"""A token bucket that limits a byte rate, in integer arithmetic; callers pass the time in nanoseconds."""
 
 from __future__ import annotations
 
 SECOND = 1_000_000_000
 
 
-class ByteBucket:
-    """Lets `rate` bytes a second pass, and `burst` more at once after a pause."""
+class TokenBucket:
+    """Limits throughput to `bytes_per_second`, with bursts of up to `burst_bytes` after idle time."""
 
-    __slots__ = ("burst", "rate", "refilled_at", "tokens")
+    __slots__ = ("burst_bytes", "bytes_per_second", "refilled_at", "tokens")
 
-    def __init__(self, rate: int, burst: int, now: int) -> None:
-        self.rate = rate
-        self.burst = burst
-        self.tokens = burst * SECOND  # in bytes times nanoseconds: no remainder is lost
+    def __init__(self, bytes_per_second: int, burst_bytes: int, now: int) -> None:
+        self.bytes_per_second = bytes_per_second
+        self.burst_bytes = burst_bytes
+        self.tokens = burst_bytes * SECOND  # in byte-nanoseconds, so that no remainder is lost
         self.refilled_at = now
 
-    def wait(self, now: int, size: int) -> int:
-        """Nanoseconds until so many bytes may pass; more than the burst wait for a full bucket."""
+    def compute_delay(self, now: int, size: int) -> int:
+        """Return the nanoseconds until `size` bytes may pass; a size over the burst needs a full bucket."""
         self._refill(now)
-        missing = min(size, self.burst) * SECOND - self.tokens
-        return max(0, -(-missing // self.rate))
+        missing = min(size, self.burst_bytes) * SECOND - self.tokens
+        return max(0, -(-missing // self.bytes_per_second))
 
-    def take(self, now: int, size: int) -> None:
-        """Count bytes that pass; more than there are make the next ones wait."""
+    def consume(self, now: int, size: int) -> None:
+        """Take tokens for sent bytes; the balance may become negative, which delays the next ones."""
         self._refill(now)
         self.tokens -= size * SECOND
 
     def _refill(self, now: int) -> None:
-        passed = max(0, now - self.refilled_at)
-        self.refilled_at += passed
-        self.tokens = min(self.burst * SECOND, self.tokens + passed * self.rate)
+        elapsed = max(0, now - self.refilled_at)
+        self.refilled_at += elapsed
+        self.tokens = min(self.burst_bytes * SECOND, self.tokens + elapsed * self.bytes_per_second)
--- a/millweir/lab/scale/configuration.py
+++ b/millweir/lab/scale/configuration.py
@@ -39,7 +39,7 @@
 import uvloop
 
 from millweir.configuration.messages import Change, Edit, Report, decode_frame
-from millweir.configuration.partition import apply_edits, digest_of
+from millweir.configuration.partition import apply_edits, compute_digest
 from millweir.configuration.progress import Progress
 from millweir.lab.scale.configuration_fleet import DISTRIBUTORS, FleetPlan
 from millweir.lab.scale.configuration_links import (
@@ -122,7 +122,7 @@
         self.entries: dict[int, dict[bytes, bytes]] = {}  # of partitions that were changed
         self.digests: dict[tuple[int, int], int] = {}
         self.progress = Progress(self.versions, self.version)
-        self.progress.assign(1, plan.assignment())
+        self.progress.update_assignments(1, plan.assignment())
         self.distributors: dict[str, FrameLink] = {}
         self.unknown: list[SentChange] = []
         self.looked_at = 0
@@ -146,14 +146,14 @@
 
     def report(self, link: FrameLink, report: Report) -> None:
         now = time.monotonic_ns()
-        if not self.progress.report(now, report):
+        if not self.progress.record_report(now, report):
             link.send(encode_register(FullReport()))
         while self.unknown and self.unknown[0].version <= self.progress.in_force:
             self.unknown.pop(0).known_at = now
 
     def digest(self, number: int, version: int) -> int | None:
         if version == number + 1:
-            return digest_of(self.plan.entries(number))
+            return compute_digest(self.plan.entries(number))
         return self.digests.get((number, version))
 
     def heartbeat(self) -> None:
@@ -168,12 +168,12 @@
         apply_edits(entries, edits)
         self.version += 1
         previous, self.versions[number] = self.versions[number], self.version
-        digest = digest_of(entries)
+        digest = compute_digest(entries)
         self.digests[number, self.version] = digest
         frame = encode_register(RegisterChange(Change(self.version, number, previous, edits, digest)))
         sent = SentChange(self.version, number, time.monotonic_ns())
         self.unknown.append(sent)
-        self.progress.change(self.version, number)
+        self.progress.record_change(self.version, number)
         for link in self.distributors.values():
             link.send(frame)
         return sent
@@ -279,7 +279,7 @@
                 progress = self.register.progress
                 raise TimeoutError(
                     f"not within {WAIT_MOST:.0f} s: {what}; in force {progress.in_force} of "
-                    f"{self.register.version}, {progress.lagging(4)}"
+                    f"{self.register.version}, {progress.find_lagging(4)}"
                 )
             await asyncio.sleep(0.02)
 
@@ -290,7 +290,7 @@
         trouble = "start-with-folder"
         started = time.monotonic()
         await self.ask(self.relays, Command("start", ports=self.ports))
-        await self.until(self.register.progress.complete, trouble)
+        await self.until(self.register.progress.is_complete, trouble)
         seconds = time.monotonic() - started
         samples = await self.ask(self.relays, Command("sample"))
         usages = await self.ask(self.distributors, Command("sample"))
@@ -346,7 +346,7 @@
         started = time.monotonic()
         first = await self.ask(self.relays, Command("restart", relays=tuple(chosen)))
         await asyncio.sleep(2)
-        await self.until(self.register.progress.complete, trouble)
+        await self.until(self.register.progress.is_complete, trouble)
         seconds = time.monotonic() - started
         second = await self.ask(self.relays, Command("sample"))
         filled, received = [], []
@@ -374,7 +374,7 @@
             sent.append(self.register.change(self.plan.common))
             await asyncio.sleep(COMMON_PAUSE / COMMON_CHANGES)
         await self.until(lambda: not self.register.unknown, trouble)
-        await self.until(self.register.progress.complete, trouble)
+        await self.until(self.register.progress.is_complete, trouble)
         samples = await self.ask(self.relays, Command("sample"))
         figures = self.time_figures(sent, samples, trouble)
         return [*figures, *self.byte_figures(samples, trouble, None)]
--- a/millweir/lab/scale/configuration_links.py
+++ b/millweir/lab/scale/configuration_links.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from millweir.configuration.messages import FRAME_MOST, Change
+from millweir.configuration.messages import MAX_FRAME_BYTES, Change
 
 LOOPBACK = "127.0.0.1"
 LENGTH_BYTES = 4
@@ -85,7 +85,7 @@
         start = 0
         while len(self._buffer) - start >= LENGTH_BYTES:
             length = int.from_bytes(self._buffer[start : start + LENGTH_BYTES])
-            if length > FRAME_MOST:
+            if length > MAX_FRAME_BYTES:
                 self.transport.abort()
                 return
             end = start + LENGTH_BYTES + length
--- a/millweir/lab/scale/configuration_processes.py
+++ b/millweir/lab/scale/configuration_processes.py
@@ -14,7 +14,7 @@
 
 from millweir.configuration.core import Distributor, DistributorRules
 from millweir.configuration.holder import Holder, HolderRules, StoredReplica, WriteAssignment, WriteDelta
-from millweir.configuration.partition import digest_of
+from millweir.configuration.partition import compute_digest
 from millweir.lab.scale.configuration_fleet import FleetPlan
 from millweir.lab.scale.configuration_links import (
     LOOPBACK,
@@ -119,25 +119,25 @@
             self.next_number += 1
             number = self.numbers[link] = self.next_number
             self.links[number] = link
-        self.core.receive(time.monotonic_ns(), number, frame)
+        self.core.receive_frame(time.monotonic_ns(), number, frame)
         self.soon()
 
     def relay_lost(self, link: FrameLink) -> None:
         number = self.numbers.pop(link, None)
         if number is not None and self.server.is_serving():
             del self.links[number]
-            self.core.disconnected(time.monotonic_ns(), number)
+            self.core.handle_disconnect(time.monotonic_ns(), number)
             self.soon()
 
     def register_frame(self, link: FrameLink, frame: bytes) -> None:
         message = decode_register(frame)
         now = time.monotonic_ns()
         if isinstance(message, RegisterChange):
-            self.core.change(now, message.change)
+            self.core.receive_change(now, message.change)
         elif isinstance(message, RegisterAt):
-            self.core.register_at(now, message.version)
+            self.core.receive_store_heartbeat(now, message.version)
         elif isinstance(message, FullReport):
-            self.core.report_requested()
+            self.core.request_full_report()
         self.soon()
 
     def soon(self) -> None:
@@ -149,30 +149,30 @@
     def turn(self) -> None:
         self.due = False
         now = time.monotonic_ns()
-        output = self.core.turn(now)
+        output = self.core.run_turn(now)
         for outgoing in output.frames:
-            link = self.links.get(outgoing.link)
+            link = self.links.get(outgoing.connection_id)
             if link is not None:
                 link.send(outgoing.frame)
-        for number in output.closed:
+        for number in output.connections_to_close:
             if number in self.links:
                 self.links[number].close()
         for frame in output.reports:
             self.register.send(encode_register(ReportFrame(frame)))
-        self.timer.set(self.core.wake_at(now))
+        self.timer.set(self.core.get_next_wake_time(now))
 
 
 def load(servers: list[DistributorServer], plan: FleetPlan) -> None:
     """All partitions into all distributors of this process; keys and values are shared."""
     for number in range(plan.partitions + 1):
         entries = plan.entries(number)
-        digest = digest_of(entries)
+        digest = compute_digest(entries)
         for server in servers:
-            server.core.install(time.monotonic_ns(), number, number + 1, dict(entries), digest)
+            server.core.install_partition(time.monotonic_ns(), number, number + 1, dict(entries), digest)
     assignment = plan.assignment()
     for server in servers:
-        server.core.installed(time.monotonic_ns(), plan.base_version)
-        server.core.assign(time.monotonic_ns(), 1, assignment)
+        server.core.finish_loading(time.monotonic_ns(), plan.base_version)
+        server.core.update_assignments(time.monotonic_ns(), 1, assignment)
 
 
 def run_distributors(pipe: Connection, plan: FleetPlan, names: list[str], register_port: int) -> None:
@@ -234,7 +234,7 @@
             assignment = WriteAssignment(1, tuple(numbers))
             for number in numbers:
                 entries = plan.entries(number)
-                stored[number] = StoredReplica(number + 1, digest_of(entries), entries)
+                stored[number] = StoredReplica(number + 1, compute_digest(entries), entries)
         self.wanted = len(numbers)
         self.session += 1_000_000
         self.started_at = time.monotonic_ns()
@@ -253,24 +253,24 @@
 
     def tick(self) -> None:
         if self.holder is not None:
-            self.holder.tick(time.monotonic_ns())
+            self.holder.advance_time(time.monotonic_ns())
             self.after()
 
     def frame(self, link: FrameLink, frame: bytes) -> None:
         if link is self.link and self.holder is not None:
             self.count_second(len(frame))
-            self.holder.receive(time.monotonic_ns(), self.holder.distributor, frame)
+            self.holder.receive_frame(time.monotonic_ns(), self.holder.distributor, frame)
             self.after()
 
     def lost(self, link: FrameLink) -> None:
         self.add_bytes(link)
         if link is self.link and self.holder is not None:
             self.link = None
-            self.holder.connection_down(time.monotonic_ns(), self.holder.distributor)
+            self.holder.handle_connection_down(time.monotonic_ns(), self.holder.distributor)
             self.after()
 
     def after(self) -> None:
-        step = self.holder.step()
+        step = self.holder.take_actions()
         now = time.monotonic_ns()
         for write in step.writes:
             if isinstance(write, WriteDelta):
@@ -281,11 +281,11 @@
             if self.link is not None:
                 self.count_second(len(frame))
                 self.link.send(frame)
-        for word in step.words:
+        for word in step.digest_requests:
             self.process.ask_word(AskWord(self.name, word.partition, word.version))
-        if step.connect is not None:
-            asyncio.ensure_future(self.connect(step.connect))
-        self.timer.set(self.holder.wake_at())
+        if step.connect_to is not None:
+            asyncio.ensure_future(self.connect(step.connect_to))
+        self.timer.set(self.holder.get_next_wake_time())
 
     def look_whether_filled(self, now: int) -> None:
         replicas = self.holder.replicas.values()
@@ -303,14 +303,14 @@
             )
         except OSError:
             if self.holder is holder is not None:
-                holder.connection_down(time.monotonic_ns(), distributor)
+                holder.handle_connection_down(time.monotonic_ns(), distributor)
                 self.after()
             return
         if self.holder is not holder or holder is None:
             link.close()
             return
         self.link = link
-        holder.connection_up(time.monotonic_ns(), distributor)
+        holder.handle_connection_up(time.monotonic_ns(), distributor)
         self.after()
 
     def count_second(self, size: int) -> None:
@@ -358,7 +358,7 @@
             relay = self.relays[message.relay]
             if relay.holder is not None:
                 now = time.monotonic_ns()
-                relay.holder.word(now, message.partition, message.version, message.digest)
+                relay.holder.receive_store_digest(now, message.partition, message.version, message.digest)
                 relay.after()
 
     def answer(self, command: Command) -> Sample:
--- a/tests/configuration/mutants.py
+++ b/tests/configuration/mutants.py
@@ -1,4 +1,4 @@
-"""Broken cores: each is one line of the real one changed, with the case that finds it."""
+"""Mutants of the cores: each changes one statement, and names the scenario that detects it."""
 
 from __future__ import annotations
 
@@ -11,106 +11,106 @@
 import millweir.configuration.progress as progress_module
 
 MODULES = {"Distributor": distributor_module, "Holder": holder_module, "Progress": progress_module}
-SHARED = {
+SHARED_CLASSES = {
     "Distributor": ("Assignment", "DistributorRules"),
     "Holder": (
         "HolderRules",
         "RemoveReplica",
         "StoredReplica",
-        "WordRequest",
+        "DigestRequest",
         "WriteAssignment",
         "WriteDelta",
         "WriteReplica",
     ),
-    "Progress": ("LagReason", "Lagging"),
+    "Progress": ("LagReason", "LaggingRelay"),
 }
 
 # ruff: noqa: E501
-# name: (class, text of its module, what stands there instead, the case that finds it)
+# name: (class, original text in its module, replacement, scenario that detects the mutant)
 MUTANTS = {
-    "a holder takes older versions": (
+    "a holder applies older deltas": (
         "Holder",
-        "        if delta.version < replica.version:\n            self._acknowledge(delta.partition, replica)",
+        "        if delta.version < replica.version:\n            self._send_acknowledgement(delta.partition, replica)",
         "        if False:\n            pass",
-        "rough-network",
+        "lossy-network",
     ),
-    "a holder takes older snapshots": (
+    "a holder applies older snapshots": (
         "Holder",
-        "        if chunk.version < replica.version or (chunk.version == replica.version and replica.required is None):",
+        "        if chunk.version < replica.version or (\n            chunk.version == replica.version and replica.required_digest is None\n        ):",
         "        if False:",
         "late-snapshot",
     ),
     "a delta with a gap is applied": (
         "Holder",
-        "        elif delta.previous > replica.version:",
+        "        elif delta.previous_version > replica.version:",
         "        elif False:",
         "version-gap",
     ),
-    "a gap is not asked for": (
+    "a gap is not requested": (
         "Holder",
-        "            self._request(now, delta.partition, replica, whole=False)",
+        "            self._send_request(now, delta.partition, replica, full=False)",
         "            pass",
         "version-gap",
     ),
-    "what a delta leads to is not checked": (
+    "the digest after a delta is not checked": (
         "Holder",
-        "        if digest_after(replica.entries, replica.digest, delta.edits) != delta.digest:",
+        "        if compute_digest_after(replica.entries, replica.digest, delta.edits) != delta.digest:",
         "        if False:",
-        "wrong-delta",
+        "delta-with-wrong-digest",
     ),
-    "a stored partition is believed": (
+    "the digest of a stored partition is not checked": (
         "Holder",
-        "            if digest_of(replica.entries) != replica.digest:",
+        "            if compute_digest(replica.entries) != replica.digest:",
         "            if False:",
-        "garbled-folder",
+        "corrupted-folder",
     ),
-    "a snapshot is not asked about": (
+    "the store's digest of a snapshot is not requested": (
         "Holder",
-        "        self._ask_register(now, number, replica, Dispute(assembly.version, assembly.digest, self.distributor))",
+        "        self._request_store_digest(\n            now, partition_id, replica, Dispute(assembly.version, assembly.digest, self.distributor)\n        )",
         "        pass",
         "disagreeing-snapshot",
     ),
-    "who disagrees is believed": (
+    "a distributor with a wrong digest is not distrusted": (
         "Holder",
-        "        if dispute.digest != digest:\n            self._distrust(now, dispute.distributor, number, dispute.version)",
+        "        if dispute.digest != digest:\n            self._distrust_distributor(now, dispute.distributor, partition_id, dispute.version)",
         "        if False:\n            pass",
         "distributors-disagree",
     ),
-    "a distributor that lies behind is kept": (
+    "a distributor behind the store is kept": (
         "Holder",
-        "        elif now - self._behind_since >= self.rules.behind_most:",
+        "        elif now - self._behind_since >= self.rules.max_behind_ns:",
         "        elif False:",
         "distributor-behind",
     ),
     "a silent distributor is kept": (
         "Holder",
-        "        if now - self._heard_at >= self.rules.silence:",
+        "        if now - self._last_received_at >= self.rules.distributor_timeout_ns:",
         "        if False:",
         "distributor-silent",
     ),
     "a lost hello is not repeated": (
         "Holder",
-        "        elif not self._answered and now >= self._hello_at:\n            self._say_hello(now)",
+        "        elif not self._hello_answered and now >= self._hello_retry_at:\n            self._send_hello(now)",
         "        elif False:\n            pass",
         "lost-hello",
     ),
-    "a partition that went and came back is not told": (
+    "no hello after a partition was removed and reassigned": (
         "Holder",
-        "            self._say_hello(now)  # the distributor may have missed that a partition went and came back",
+        "            # The distributor may have missed that a partition was removed and reassigned.\n            self._send_hello(now)",
         "            pass",
-        "partition-comes-back",
+        "partition-removed-and-reassigned",
     ),
-    "a partition of another relay is kept": (
+    "an unassigned partition is kept": (
         "Holder",
-        "            del self.replicas[number]\n",
+        "            del self.replicas[partition_id]\n",
         "",
-        "partitions-move",
+        "partitions-reassigned",
     ),
-    "nothing is sent again": (
+    "unacknowledged changes are not sent again": (
         "Distributor",
-        "            del session.sent[number]\n            self._queue_partition(now, session, number)\n        if",
-        "            del session.sent[number]\n        if",
-        "rough-network",
+        "            del session.in_flight[partition_id]\n            self._queue_partition(now, session, partition_id)\n        if",
+        "            del session.in_flight[partition_id]\n        if",
+        "lossy-network",
     ),
     "a distributor serves before it has loaded": (
         "Distributor",
@@ -118,112 +118,112 @@
         "        if False:\n            pass",
         "distributor-restarts-empty",
     ),
-    "a gap in the register's changes is passed over": (
+    "a gap in the store's changes is ignored": (
         "Distributor",
         "        if change.version != self.version + 1:",
         "        if False:",
-        "register-gap",
+        "store-gap",
     ),
-    "the register's digest is not looked at": (
+    "the store's digest of a change is not checked": (
         "Distributor",
-        "not partition.fits(change)",
+        "not partition.can_apply(change)",
         "False",
-        "distributor-repairs-itself",
+        "distributor-refetches-partition",
     ),
     "digests are not compared at a hello": (
         "Distributor",
-        "        if ours is not None and ours != digest:",
+        "        if own_digest is not None and own_digest != digest:",
         "        if False:",
         "distributors-disagree",
     ),
-    "a relay's bytes have no bound": (
+    "a relay's byte rate is not limited": (
         "Distributor",
-        "            pause = session.bucket.wait(now, self.rules.message_bytes)",
-        "            pause = 0",
+        "            delay = session.bucket.compute_delay(now, self.rules.max_message_bytes)",
+        "            delay = 0",
         "empty-folder",
     ),
-    "sessions don't take turns": (
+    "sessions are not served in turn": (
         "Distributor",
-        "                self._output.frames.append(Outgoing(session.link, frame))\n            self._ready.append(session)",
-        "                self._output.frames.append(Outgoing(session.link, frame))\n            self._ready.appendleft(session)",
-        "fair-shares",
+        "                self._output.frames.append(OutgoingFrame(session.connection_id, frame))\n            self._ready_sessions.append(session)",
+        "                self._output.frames.append(OutgoingFrame(session.connection_id, frame))\n            self._ready_sessions.appendleft(session)",
+        "fair-bandwidth",
     ),
-    "a distributor's bytes have no bound": (
+    "a distributor's byte rate is not limited": (
         "Distributor",
-        "            if not self._ready or self._bucket.wait(now, self.rules.message_bytes):",
-        "            if not self._ready:",
-        "fair-shares",
+        "            if not self._ready_sessions or self._total_bucket.compute_delay(\n                now, self.rules.max_message_bytes\n            ):",
+        "            if not self._ready_sessions:",
+        "fair-bandwidth",
     ),
-    "snapshots go first": (
+    "snapshots are sent before deltas": (
         "Distributor",
-        "        if session.deltas:\n            number",
-        "        if session.deltas and not session.snapshots and not session.chunks:\n            number",
+        "        if session.pending_deltas:\n            partition_id",
+        "        if session.pending_deltas and not session.pending_snapshots and not session.pending_chunks:\n            partition_id",
         "delta-overtakes-snapshots",
     ),
-    "a repeated hello brings new bytes": (
+    "a repeated hello refills the token bucket": (
         "Distributor",
-        "            bucket = before.bucket",
+        "            bucket = previous_session.bucket",
         "            pass",
-        "rough-network",
+        "lossy-network",
     ),
-    "a distributor takes any number of relays": (
+    "a distributor accepts any number of relays": (
         "Distributor",
-        "len(self.sessions) >= self.rules.relays_most",
+        "len(self.sessions) >= self.rules.max_relays",
         "False",
         "full-distributors",
     ),
-    "snapshots instead of deltas": (
+    "snapshots are sent instead of deltas": (
         "Distributor",
-        "        if held < self.partitions[number].oldest:",
-        "        if held < self.partitions[number].version:",
-        "old-folder",
+        "        if base_version < self.partitions[partition_id].log_start_version:",
+        "        if base_version < self.partitions[partition_id].version:",
+        "stale-folder",
     ),
-    "a distributor reports what it has sent": (
+    "a distributor reports sent changes as acknowledged": (
         "Distributor",
-        "        oldest = min((session.acked[number] for number in session.lacking), default=None)",
+        "        oldest = min(\n            (session.acknowledged_versions[partition_id] for partition_id in session.outdated_partitions),\n            default=None,\n        )",
         "        oldest = None",
-        "rough-network",
+        "lossy-network",
     ),
-    "a row for other partitions counts": (
+    "a row for an older assignment is used": (
         "Progress",
-        "        if record.row_assigned != record.assigned:\n            return 0",
+        "        if record.reported_assignment_version != record.assignment_version:\n            return 0",
         "        if False:\n            return 0",
-        "moved-while-reported",
+        "reassigned-before-report",
     ),
-    "a lost report is passed over": (
+    "a lost report is ignored": (
         "Progress",
         "        if not (report.full or follows):",
         "        if False:",
         "lost-reports",
     ),
-    "who is not attached holds nothing back": (
+    "a detached relay no longer counts for in_force": (
         "Progress",
         "        record.distributor = name\n        if name is not None:",
-        "        record.distributor = name\n        if name is None and record.last:\n            self._waiting.discard((record.first, relay))\n            record.first = record.last = 0\n        if name is not None:",
+        "        record.distributor = name\n        if name is None and record.last_unacknowledged:\n            self._waiting_relays.discard((record.first_unacknowledged, relay))\n            record.first_unacknowledged = record.last_unacknowledged = 0\n        if name is not None:",
         "region-cut",
     ),
-    "the first acknowledgement stands for all": (
+    "one holder's acknowledgement counts for all": (
         "Progress",
-        "        for relay in self._holders.get(partition, {}):",
-        "        for relay in list(self._holders.get(partition, {}))[:1]:",
-        "rough-network",
+        "        for relay in self._relays_by_partition.get(partition, {}):",
+        "        for relay in list(self._relays_by_partition.get(partition, {}))[:1]:",
+        "lossy-network",
     ),
-    "who was not heard of again is thought attached": (
+    "a relay missing from a full report stays attached": (
         "Progress",
-        "        if report.full:\n            self._detach_missing(record, report)",
+        "        if report.full:\n            self._detach_missing_relays(record, report)",
         "",
-        "relay-and-distributor-die",
+        "relay-and-distributor-crash",
     ),
 }
 
 
-def broken(name: str) -> Cores:
-    """The cores with one line of one of them changed."""
+def load_mutant(name: str) -> Cores:
+    """Return the cores with one of them replaced by a mutant."""
     kind, old, new, _ = MUTANTS[name]
     real = MODULES[kind]
     source = Path(real.__file__).read_text()
-    assert source.count(old) == 1, f"{name}: stands {source.count(old)} times in {real.__name__}"
+    assert source.count(old) == 1, f"{name}: original text found {source.count(old)} times in {real.__name__}"
     space = {"__name__": real.__name__}
     exec(compile(source.replace(old, new), name, "exec", dont_inherit=True), space)
-    space |= {one: getattr(real, one) for one in SHARED[kind]}
+    space |= {one: getattr(real, one) for one in SHARED_CLASSES[kind]}
     return Cores(**{kind: space[kind]})
--- a/tests/configuration/test_configuration_cases.py
+++ b/tests/configuration/test_configuration_cases.py
@@ -1,4 +1,4 @@
-"""The hard cases hold; a failing one names its seed: `CASES[name](seed, Cores())` replays it."""
+"""Runs the failure scenarios with fixed seeds; `CASES[name](seed, Cores())` repeats a failing one."""
 
 import pytest
 from configuration.cases import CASES
--- a/tests/configuration/test_configuration_scale.py
+++ b/tests/configuration/test_configuration_scale.py
@@ -1,4 +1,4 @@
-"""The scale test's plan and its limits; no processes are started here."""
+"""Plan and resource limits of the configuration scale test; no processes are started."""
 
 from collections import Counter
 
@@ -21,7 +21,7 @@
     assert FleetPlan(49, 1).assignment() == FleetPlan(49, 1).assignment() != FleetPlan(49, 2).assignment()
 
 
-def test_nothing_is_started_that_would_take_too_much():
+def test_a_run_over_the_memory_or_process_limit_is_not_started():
     with pytest.raises(LimitExceeded, match="MiB"):
         next(measure(49, 1, Guard(memory_most=1 << 20)))
     with pytest.raises(LimitExceeded, match="processes"):
--- a/tests/configuration/world.py
+++ b/tests/configuration/world.py
@@ -1,11 +1,11 @@
-"""A simulated register, distributors, relays with folders, and a network that loses, repeats and reorders.
+"""Simulates the store, distributors, relays with folders, and a network that loses, duplicates and reorders.
 
-After every event the rules are checked (`World.check_relay`, `World.check_progress`):
+After every event the invariants are checked (`Simulation.check_relay`, `Simulation.check_progress`):
 
-- a replica's version never falls, in memory or in the folder, while the folder lives;
-- entries at a version are the register's at that version, in memory and in the folder;
-- nothing is in force everywhere that one of its holders has never had;
-- what is kept is bounded, and no link takes more than its budget in any second.
+- a replica's version never decreases, in memory or in the folder, unless the folder is replaced;
+- entries at a version equal the store's at that version, in memory and in the folder;
+- no change is in force everywhere that one of its holders has never had;
+- kept state is bounded, and no connection carries more than its byte budget in any second.
 """
 
 from __future__ import annotations
@@ -29,12 +29,12 @@
     WriteReplica,
 )
 from millweir.configuration.messages import Change, Edit, Report, decode_frame
-from millweir.configuration.partition import apply_edits, digest_of
+from millweir.configuration.partition import apply_edits, compute_digest
 
 SECOND = 1_000_000_000
 MILLISECOND = 1_000_000
-BUDGET = 11_000  # bytes a relay in any second
-STEPS_MOST = 25_000  # of one case
+MAX_RELAY_BYTES_PER_SECOND = 11_000  # in any second, to one relay
+MAX_EVENTS = 25_000  # of one case
 
 
 @dataclass
@@ -48,69 +48,69 @@
 
 @dataclass
 class Network:
-    """What happens to each message."""
+    """Delays of messages, and the probabilities that one is lost, duplicated or corrupted."""
 
-    least: int = MILLISECOND
-    most: int = 50 * MILLISECOND
-    loss: float = 0.0
-    repeat: float = 0.0
-    garble: float = 0.0
+    min_delay_ns: int = MILLISECOND
+    max_delay_ns: int = 50 * MILLISECOND
+    loss_rate: float = 0.0
+    duplicate_rate: float = 0.0
+    corruption_rate: float = 0.0
 
 
-class Register:
-    """The configuration as it is: every version of every partition, for comparison."""
+class ConfigurationStore:
+    """The configuration store, with every version of every partition for comparison."""
 
-    def __init__(self, partitions: int, entries: int, chance: random.Random, log_most: int = 40) -> None:
-        self.chance = chance
+    def __init__(self, partitions: int, entries: int, rng: random.Random, max_log_changes: int = 40) -> None:
+        self.rng = rng
         self.version = 0
-        self.log: deque[Change] = deque(maxlen=log_most)
+        self.log: deque[Change] = deque(maxlen=max_log_changes)
         self.entries = [
-            {b"destination-%d-%d" % (number, one): chance.randbytes(90) for one in range(entries)}
-            for number in range(partitions)
+            {b"destination-%d-%d" % (partition_id, one): rng.randbytes(90) for one in range(entries)}
+            for partition_id in range(partitions)
         ]
         self.versions = [0] * partitions
         self.partition_of: dict[int, int] = {}
         self.history: dict[tuple[int, int], dict[bytes, bytes]] = {}
-        for number in range(partitions):
+        for partition_id in range(partitions):
             self.version += 1
-            self.versions[number] = self.version
-            self.partition_of[self.version] = number
-            self.history[number, self.version] = dict(self.entries[number])
-            self.history[number, 0] = {}
-
-    def digest(self, number: int, version: int) -> int:
-        return digest_of(self.history[number, version])
-
-    def next_change(self, number: int | None = None, edits: int = 1) -> Change:
-        chance = self.chance
-        number = chance.randrange(len(self.entries)) if number is None else number
-        entries = self.entries[number]
-        keys = {b"destination-%d-%d" % (number, chance.randrange(40)) for _ in range(edits)}
-        made = tuple(
-            Edit(key, None if key in entries and chance.random() < 0.2 else chance.randbytes(90))
+            self.versions[partition_id] = self.version
+            self.partition_of[self.version] = partition_id
+            self.history[partition_id, self.version] = dict(self.entries[partition_id])
+            self.history[partition_id, 0] = {}
+
+    def compute_digest_at(self, partition_id: int, version: int) -> int:
+        return compute_digest(self.history[partition_id, version])
+
+    def make_change(self, partition_id: int | None = None, edits: int = 1) -> Change:
+        rng = self.rng
+        partition_id = rng.randrange(len(self.entries)) if partition_id is None else partition_id
+        entries = self.entries[partition_id]
+        keys = {b"destination-%d-%d" % (partition_id, rng.randrange(40)) for _ in range(edits)}
+        edits_made = tuple(
+            Edit(key, None if key in entries and rng.random() < 0.2 else rng.randbytes(90))
             for key in sorted(keys)
         )
-        apply_edits(entries, made)
+        apply_edits(entries, edits_made)
         self.version += 1
-        previous, self.versions[number] = self.versions[number], self.version
-        self.partition_of[self.version] = number
-        self.history[number, self.version] = dict(entries)
-        change = Change(self.version, number, previous, made, digest_of(entries))
+        previous_version, self.versions[partition_id] = self.versions[partition_id], self.version
+        self.partition_of[self.version] = partition_id
+        self.history[partition_id, self.version] = dict(entries)
+        change = Change(self.version, partition_id, previous_version, edits_made, compute_digest(entries))
         self.log.append(change)
         return change
 
 
 @dataclass
 class Folder:
-    """A relay's disk."""
+    """A relay's folder on disk."""
 
     assignment: WriteAssignment | None = None
     replicas: dict[int, StoredReplica] = field(default_factory=dict)
 
     def copy(self) -> Folder:
         replicas = {
-            number: StoredReplica(one.version, one.digest, dict(one.entries))
-            for number, one in self.replicas.items()
+            partition_id: StoredReplica(one.version, one.digest, dict(one.entries))
+            for partition_id, one in self.replicas.items()
         }
         return Folder(self.assignment, replicas)
 
@@ -132,34 +132,38 @@
 
 @dataclass
 class Relay:
+    """One relay's process and folder, and what the checks remember about it."""
+
     name: str
     folder: Folder = field(default_factory=Folder)
     holder: object = None
-    link: int = 0
-    starts: int = 0
-    timer: int = 0
-    floors: dict[int, int] = field(default_factory=dict)  # least version allowed, by partition
-    reached: Counter = field(default_factory=Counter)  # greatest version ever held, by partition
+    connection_id: int = 0
+    start_count: int = 0
+    timer_at: int = 0
+    min_versions: dict[int, int] = field(default_factory=dict)  # by partition, of the current folder
+    highest_versions: Counter = field(default_factory=Counter)  # by partition, over all folders
     events: list = field(default_factory=list)
 
 
 @dataclass
-class Machine:
-    """One distributor's process."""
+class DistributorProcess:
+    """One distributor's process; its core is None while it is stopped or hangs."""
 
     name: str
     core: object = None
-    life: int = 0
-    timer: int = 0
-    register_cut: bool = False
+    incarnation: int = 0
+    timer_at: int = 0
+    store_unreachable: bool = False
     events: list = field(default_factory=list)
 
 
 @dataclass
-class Link:
+class Connection:
+    """A connection between a relay and a distributor, with its traffic."""
+
     relay: str
-    machine: str
-    life: int
+    distributor: str
+    incarnation: int
     up: bool = True
     sent: deque = field(default_factory=deque)  # (time, bytes) of the last second
     sent_bytes: int = 0
@@ -167,14 +171,14 @@
     frames: list = field(default_factory=list)
 
 
-class World:
-    """All of it, driven by a heap of timed calls."""
+class Simulation:
+    """The store, distributors, relays and network, driven by a heap of timed calls."""
 
     def __init__(
         self,
         seed: int,
         cores: Cores,
-        machines: int = 3,
+        distributors: int = 3,
         relays: int = 6,
         partitions: int = 10,
         replicas: int = 3,
@@ -183,419 +187,472 @@
         rules: DistributorRules | None = None,
         keep_frames: bool = False,
     ) -> None:
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.cores = cores
         self.network = network or Network()
         self.rules = rules or DistributorRules()
         self.keep_frames = keep_frames
         self.now = 0
-        self.register = Register(partitions, entries, self.chance)
-        self.calls: list[tuple[int, int, Callable]] = []
-        self.number = 0
-        self.steps = 0
-        self.steps_most = STEPS_MOST
-        self.links: dict[int, Link] = {}
-        self.assignment = 1
-        self.moves: dict[str, Assignment] = {}
-        self.machines = {f"distributor-{one}": Machine(f"distributor-{one}") for one in range(machines)}
+        self.store = ConfigurationStore(partitions, entries, self.rng)
+        self.scheduled_calls: list[tuple[int, int, Callable]] = []
+        self.last_id = 0
+        self.event_count = 0
+        self.max_events = MAX_EVENTS
+        self.connections: dict[int, Connection] = {}
+        self.assignment_version = 1
+        self.assignments: dict[str, Assignment] = {}
+        self.distributors = {
+            f"distributor-{one}": DistributorProcess(f"distributor-{one}") for one in range(distributors)
+        }
         self.relays = {f"relay-{one}": Relay(f"relay-{one}") for one in range(relays)}
-        self.cut: set[str] = set()  # relays that reach nobody
-        self.tampered: set[tuple[str, int]] = (
-            set()
-        )  # relay and partition that a tampered distributor may have told
-        self.said_in_force = 0
-        self.replies = 0  # words given by the register
+        self.disconnected_relays: set[str] = set()  # relays that cannot reach any distributor
+        # Relay and partition of replicas that a tampered distributor may have sent.
+        self.tampered_replicas: set[tuple[str, int]] = set()
+        self.checked_in_force = 0
+        self.digest_replies = 0  # answers of the store to digest requests
         names = list(self.relays)
         held = defaultdict(set)
-        for number in range(partitions):
-            for name in self.chance.sample(names, min(replicas, len(names))):
-                held[name].add(number)
-        self.moves = {name: Assignment(1, frozenset(held[name] or {0})) for name in names}
-        self.progress = cores.Progress(dict(enumerate(self.register.versions)), self.register.version)
-        self.progress.assign(1, self.moves)
-        for name in self.machines:
-            self.start_machine(name)
-        self.heartbeat()
+        for partition_id in range(partitions):
+            for name in self.rng.sample(names, min(replicas, len(names))):
+                held[name].add(partition_id)
+        self.assignments = {name: Assignment(1, frozenset(held[name] or {0})) for name in names}
+        self.progress = cores.Progress(dict(enumerate(self.store.versions)), self.store.version)
+        self.progress.update_assignments(1, self.assignments)
+        for name in self.distributors:
+            self.start_distributor(name)
+        self.send_store_heartbeats()
 
     # --- time
 
-    def at(self, delay: int, call: Callable) -> None:
-        self.number += 1
-        heapq.heappush(self.calls, (self.now + delay, self.number, call))
+    def schedule(self, delay: int, call: Callable) -> None:
+        self.last_id += 1
+        heapq.heappush(self.scheduled_calls, (self.now + delay, self.last_id, call))
 
-    def run(self, seconds: float) -> None:
+    def run_for(self, seconds: float) -> None:
         end = self.now + round(seconds * SECOND)
-        while self.calls and self.calls[0][0] <= end:
-            self.now, _, call = heapq.heappop(self.calls)
-            self.steps += 1
-            assert self.steps < self.steps_most, f"runs away; {self.state()}"
+        while self.scheduled_calls and self.scheduled_calls[0][0] <= end:
+            self.now, _, call = heapq.heappop(self.scheduled_calls)
+            self.event_count += 1
+            assert self.event_count < self.max_events, f"too many events; {self.describe_state()}"
             call()
             self.check_progress()
         self.now = end
 
-    def run_until(self, reached: Callable[[], bool], seconds: float, what: str) -> None:
+    def run_until(self, condition: Callable[[], bool], seconds: float, what: str) -> None:
         end = self.now + round(seconds * SECOND)
-        while not reached():
-            assert self.now < end, f"not within {seconds} s: {what}; {self.state()}"
-            self.run(0.5)
+        while not condition():
+            assert self.now < end, f"not within {seconds} s: {what}; {self.describe_state()}"
+            self.run_for(0.5)
 
-    def settle(self, seconds: float = 120) -> None:
-        """Every live reachable relay ends on the register's versions, and that is known."""
-        self.run_until(self.converged, seconds, "converged")
+    def run_until_converged(self, seconds: float = 120) -> None:
+        """Run until every live, reachable relay has the store's versions and the coordinator knows it."""
+        self.run_until(self.has_converged, seconds, "converged")
 
-    def converged(self) -> bool:
-        live = [one for one in self.relays.values() if one.holder is not None and one.name not in self.cut]
+    def has_converged(self) -> bool:
+        live = [
+            one
+            for one in self.relays.values()
+            if one.holder is not None and one.name not in self.disconnected_relays
+        ]
         for relay in live:
-            for number in self.moves[relay.name].partitions:
-                replica = relay.holder.replicas.get(number)
-                if replica is None or replica.version != self.register.versions[number]:
+            for partition_id in self.assignments[relay.name].partitions:
+                replica = relay.holder.replicas.get(partition_id)
+                if replica is None or replica.version != self.store.versions[partition_id]:
                     return False
-                if replica.entries != self.register.entries[number]:
+                if replica.entries != self.store.entries[partition_id]:
                     return False
         if len(live) < len(self.relays):
             return True
-        return self.progress.in_force == self.register.version and self.progress.complete()
+        return self.progress.in_force == self.store.version and self.progress.is_complete()
 
-    def state(self) -> str:
+    def describe_state(self) -> str:
         rows = [
             f"{one.name}@{one.holder.distributor} "
             + str(
                 {
-                    number: (one.holder.replicas[number].version, self.register.versions[number])
-                    for number in one.holder.replicas
-                    if one.holder.replicas[number].version != self.register.versions[number]
+                    partition_id: (
+                        one.holder.replicas[partition_id].version,
+                        self.store.versions[partition_id],
+                    )
+                    for partition_id in one.holder.replicas
+                    if one.holder.replicas[partition_id].version != self.store.versions[partition_id]
                 }
             )
             for one in self.relays.values()
             if one.holder
         ]
         progress = self.progress
-        return f"in force {progress.in_force} of {self.register.version}, {progress.lagging(4)}, {rows}"
-
-    def heartbeat(self) -> None:
-        version = self.register.version
-        for machine in self.machines.values():
-            if machine.core is not None and not machine.register_cut:
-                machine.core.register_at(self.now, version)
-                self.after_machine(machine)
-        self.at(2 * SECOND, self.heartbeat)
-
-    # --- register
-
-    def change(self, number: int | None = None, edits: int = 1) -> Change:
-        change = self.register.next_change(number, edits)
-        self.progress.change(change.version, change.partition)
-        for machine in self.machines.values():
-            self.carry(lambda machine=machine: self.give_change(machine, change))
+        return f"in force {progress.in_force} of {self.store.version}, {progress.find_lagging(4)}, {rows}"
+
+    def send_store_heartbeats(self) -> None:
+        version = self.store.version
+        for distributor in self.distributors.values():
+            if distributor.core is not None and not distributor.store_unreachable:
+                distributor.core.receive_store_heartbeat(self.now, version)
+                self.process_distributor_output(distributor)
+        self.schedule(2 * SECOND, self.send_store_heartbeats)
+
+    # --- store
+
+    def make_change(self, partition_id: int | None = None, edits: int = 1) -> Change:
+        change = self.store.make_change(partition_id, edits)
+        self.progress.record_change(change.version, change.partition)
+        for distributor in self.distributors.values():
+            self.transmit(lambda distributor=distributor: self.deliver_change(distributor, change))
         return change
 
-    def give_change(self, machine: Machine, change: Change) -> None:
-        if machine.core is not None and not machine.register_cut:
-            machine.core.change(self.now, change)
-            self.after_machine(machine)
+    def deliver_change(self, distributor: DistributorProcess, change: Change) -> None:
+        if distributor.core is not None and not distributor.store_unreachable:
+            distributor.core.receive_change(self.now, change)
+            self.process_distributor_output(distributor)
 
-    def changes(self, count: int, seconds: float, edits: int = 1) -> None:
-        """Changes at random times, run through."""
+    def make_changes(self, count: int, seconds: float, edits: int = 1) -> None:
+        """Make changes at random times and run the simulation meanwhile."""
         for _ in range(count):
-            self.run(self.chance.random() * 2 * seconds / count)
-            self.change(edits=edits)
-
-    def serve_register(self, machine: Machine, life: int, after: int) -> None:
-        """What a distributor lacks, as changes where the log reaches, else all partitions."""
-        if machine.core is None or machine.life != life or machine.register_cut:
+            self.run_for(self.rng.random() * 2 * seconds / count)
+            self.make_change(edits=edits)
+
+    def serve_store_fetch(self, distributor: DistributorProcess, incarnation: int, after: int) -> None:
+        """Send a distributor its missing changes if the log reaches back, otherwise all partitions."""
+        if (
+            distributor.core is None
+            or distributor.incarnation != incarnation
+            or distributor.store_unreachable
+        ):
             return
-        log = self.register.log
+        log = self.store.log
         if after and log and log[0].version <= after + 1:
             for change in list(log):
                 if change.version > after:
-                    machine.core.change(self.now, change)
+                    distributor.core.receive_change(self.now, change)
         else:
-            for number, version in enumerate(self.register.versions):
-                self.install(machine, number, version)
-            machine.core.installed(self.now, self.register.version)
-            machine.core.assign(self.now, self.assignment, self.moves)
-        self.after_machine(machine)
-
-    def install(self, machine: Machine, number: int, version: int) -> None:
-        entries = dict(self.register.entries[number])
-        assert machine.core.install(self.now, number, version, entries, digest_of(entries))
-
-    def assign(self, moves: dict[str, set[int]]) -> None:
-        """The next version of the assignment."""
-        self.assignment += 1
-        version = self.assignment
-        made = {name: Assignment(version, frozenset(held)) for name, held in moves.items()}
-        self.moves.update(made)
-        self.progress.assign(version, made)
-        for machine in self.machines.values():
-            if machine.core is not None:
-                machine.core.assign(self.now, version, made)
-                self.after_machine(machine)
-
-    def move(self, number: int) -> None:
-        """A partition goes from one holder to a relay that does not hold it."""
+            for partition_id, version in enumerate(self.store.versions):
+                self.install_partition(distributor, partition_id, version)
+            distributor.core.finish_loading(self.now, self.store.version)
+            distributor.core.update_assignments(self.now, self.assignment_version, self.assignments)
+        self.process_distributor_output(distributor)
+
+    def install_partition(self, distributor: DistributorProcess, partition_id: int, version: int) -> None:
+        entries = dict(self.store.entries[partition_id])
+        assert distributor.core.install_partition(
+            self.now, partition_id, version, entries, compute_digest(entries)
+        )
+
+    def update_assignments(self, assignments: dict[str, set[int]]) -> None:
+        """Publish the next version of the assignment."""
+        self.assignment_version += 1
+        version = self.assignment_version
+        new_assignments = {name: Assignment(version, frozenset(held)) for name, held in assignments.items()}
+        self.assignments.update(new_assignments)
+        self.progress.update_assignments(version, new_assignments)
+        for distributor in self.distributors.values():
+            if distributor.core is not None:
+                distributor.core.update_assignments(self.now, version, new_assignments)
+                self.process_distributor_output(distributor)
+
+    def move_partition(self, partition_id: int) -> None:
+        """Move a partition from one holder to a relay that does not hold it."""
         names = sorted(self.relays)
-        holders = [name for name in names if number in self.moves[name].partitions]
+        holders = [name for name in names if partition_id in self.assignments[name].partitions]
         others = [name for name in names if name not in holders]
-        before, after = self.chance.choice(holders), self.chance.choice(others)
-        self.assign(
+        before, after = self.rng.choice(holders), self.rng.choice(others)
+        self.update_assignments(
             {
-                before: set(self.moves[before].partitions) - {number},
-                after: set(self.moves[after].partitions) | {number},
+                before: set(self.assignments[before].partitions) - {partition_id},
+                after: set(self.assignments[after].partitions) | {partition_id},
             }
         )
 
     # --- processes
 
-    def start_machine(self, name: str) -> None:
-        machine = self.machines[name]
-        machine.life += 1
-        machine.core = self.cores.Distributor(name, machine.life, self.rules, self.now)
-        machine.core.register_at(self.now, self.register.version)
-        self.after_machine(machine)
+    def start_distributor(self, name: str) -> None:
+        distributor = self.distributors[name]
+        distributor.incarnation += 1
+        distributor.core = self.cores.Distributor(name, distributor.incarnation, self.rules, self.now)
+        distributor.core.receive_store_heartbeat(self.now, self.store.version)
+        self.process_distributor_output(distributor)
 
-    def kill_machine(self, name: str) -> None:
-        machine = self.machines[name]
-        machine.core = None
-        for number, link in list(self.links.items()):
-            if link.machine == name:
-                self.break_link(number)
+    def stop_distributor(self, name: str) -> None:
+        distributor = self.distributors[name]
+        distributor.core = None
+        for connection_id, connection in list(self.connections.items()):
+            if connection.distributor == name:
+                self.close_connection(connection_id)
 
     def start_relay(self, name: str, folder: Folder | None = None) -> None:
-        """Start with the folder at hand, or with another one."""
+        """Start a relay with its current folder, or with a copy of another one."""
         relay = self.relays[name]
         if folder is not None:
             relay.folder = folder.copy()
-            relay.floors = {}
-        relay.starts += 1
+            relay.min_versions = {}
+        relay.start_count += 1
         relay.holder = self.cores.Holder(
             name,
-            relay.starts * 1_000,
-            self.machines,
+            relay.start_count * 1_000,
+            self.distributors,
             HolderRules(),
             self.now,
             relay.folder.assignment,
             relay.folder.copy().replicas,
         )
-        self.after_relay(relay)
+        self.process_relay_actions(relay)
 
     def start_relays(self) -> None:
         for name in self.relays:
             self.start_relay(name)
 
-    def kill_relay(self, name: str) -> None:
+    def stop_relay(self, name: str) -> None:
         relay = self.relays[name]
         relay.holder = None
-        if relay.link:
-            self.break_link(relay.link)
+        if relay.connection_id:
+            self.close_connection(relay.connection_id)
 
-    def cut_relay(self, name: str) -> None:
-        self.cut.add(name)
-        if self.relays[name].link:
-            self.break_link(self.relays[name].link)
+    def disconnect_relay(self, name: str) -> None:
+        self.disconnected_relays.add(name)
+        if self.relays[name].connection_id:
+            self.close_connection(self.relays[name].connection_id)
 
-    def heal(self) -> None:
-        self.cut.clear()
+    def reconnect_relays(self) -> None:
+        self.disconnected_relays.clear()
 
-    def break_link(self, number: int) -> None:
-        """Both ends notice, each in its time."""
-        link = self.links.pop(number, None)
-        if link is None:
+    def close_connection(self, connection_id: int) -> None:
+        """Close a connection; each end is notified after a delay of its own."""
+        connection = self.connections.pop(connection_id, None)
+        if connection is None:
             return
-        link.up = False
-        machine = self.machines[link.machine]
-        if machine.core is not None and machine.life == link.life:
-            self.at(self.delay(), lambda: self.link_lost(machine, link.life, number))
-        relay = self.relays[link.relay]
-        if relay.link == number:
-            relay.link = 0
+        connection.up = False
+        distributor = self.distributors[connection.distributor]
+        if distributor.core is not None and distributor.incarnation == connection.incarnation:
+            self.schedule(
+                self.draw_delay(),
+                lambda: self.notify_distributor_disconnect(
+                    distributor, connection.incarnation, connection_id
+                ),
+            )
+        relay = self.relays[connection.relay]
+        if relay.connection_id == connection_id:
+            relay.connection_id = 0
             holder = relay.holder
-            self.at(self.delay(), lambda: self.connection_lost(relay, holder, link.machine))
+            self.schedule(
+                self.draw_delay(), lambda: self.notify_relay_disconnect(relay, holder, connection.distributor)
+            )
 
-    def link_lost(self, machine: Machine, life: int, number: int) -> None:
-        if machine.core is not None and machine.life == life:
-            machine.core.disconnected(self.now, number)
-            self.after_machine(machine)
+    def notify_distributor_disconnect(
+        self, distributor: DistributorProcess, incarnation: int, connection_id: int
+    ) -> None:
+        if distributor.core is not None and distributor.incarnation == incarnation:
+            distributor.core.handle_disconnect(self.now, connection_id)
+            self.process_distributor_output(distributor)
 
-    def connection_lost(self, relay: Relay, holder: object, machine: str) -> None:
-        if relay.holder is holder is not None and not relay.link:
-            holder.connection_down(self.now, machine)
-            self.after_relay(relay)
+    def notify_relay_disconnect(self, relay: Relay, holder: object, distributor: str) -> None:
+        if relay.holder is holder is not None and not relay.connection_id:
+            holder.handle_connection_down(self.now, distributor)
+            self.process_relay_actions(relay)
 
-    def connect(self, relay: Relay, holder: object, name: str) -> None:
+    def connect_relay(self, relay: Relay, holder: object, name: str) -> None:
         if relay.holder is not holder:
             return
-        if relay.link:
-            self.break_link(relay.link)
-            relay.link = 0
-        machine = self.machines[name]
-        if machine.core is None or relay.name in self.cut:
-            holder.connection_down(self.now, name)
+        if relay.connection_id:
+            self.close_connection(relay.connection_id)
+            relay.connection_id = 0
+        distributor = self.distributors[name]
+        if distributor.core is None or relay.name in self.disconnected_relays:
+            holder.handle_connection_down(self.now, name)
         else:
-            self.number += 1
-            relay.link = self.number
-            self.links[relay.link] = Link(relay.name, name, machine.life)
-            holder.connection_up(self.now, name)
-        self.after_relay(relay)
+            self.last_id += 1
+            relay.connection_id = self.last_id
+            self.connections[relay.connection_id] = Connection(relay.name, name, distributor.incarnation)
+            holder.handle_connection_up(self.now, name)
+        self.process_relay_actions(relay)
 
     # --- network
 
-    def delay(self) -> int:
-        return self.chance.randint(self.network.least, self.network.most)
+    def draw_delay(self) -> int:
+        return self.rng.randint(self.network.min_delay_ns, self.network.max_delay_ns)
 
-    def carry(self, call: Callable) -> None:
-        """Lost, late, twice: each message on its own, so they overtake each other."""
-        if self.chance.random() < self.network.loss:
+    def transmit(self, call: Callable) -> None:
+        """Lose, delay or duplicate each message on its own, so that messages overtake each other."""
+        if self.rng.random() < self.network.loss_rate:
             return
-        self.at(self.delay(), call)
-        if self.chance.random() < self.network.repeat:
-            self.at(2 * self.delay(), call)
+        self.schedule(self.draw_delay(), call)
+        if self.rng.random() < self.network.duplicate_rate:
+            self.schedule(2 * self.draw_delay(), call)
 
-    def garbled(self, frame: bytes) -> bytes:
-        if self.chance.random() >= self.network.garble:
+    def maybe_corrupt(self, frame: bytes) -> bytes:
+        if self.rng.random() >= self.network.corruption_rate:
             return frame
-        at = self.chance.randrange(len(frame))
-        return frame[:at] + bytes([frame[at] ^ (1 << self.chance.randrange(8))]) + frame[at + 1 :]
-
-    def to_relay(self, number: int, frame: bytes) -> None:
-        link = self.links.get(number)
-        relay = self.relays[link.relay] if link else None
-        if relay is not None and relay.link == number and relay.holder is not None:
-            relay.holder.receive(self.now, link.machine, frame)
-            self.after_relay(relay)
-
-    def to_machine(self, number: int, frame: bytes) -> None:
-        link = self.links.get(number)
-        machine = self.machines[link.machine] if link else None
-        if machine is not None and machine.core is not None and machine.life == link.life:
-            machine.core.receive(self.now, number, frame)
-            self.after_machine(machine)
-
-    def to_progress(self, machine: Machine, frame: bytes) -> None:
+        at = self.rng.randrange(len(frame))
+        return frame[:at] + bytes([frame[at] ^ (1 << self.rng.randrange(8))]) + frame[at + 1 :]
+
+    def deliver_to_relay(self, connection_id: int, frame: bytes) -> None:
+        connection = self.connections.get(connection_id)
+        relay = self.relays[connection.relay] if connection else None
+        if relay is not None and relay.connection_id == connection_id and relay.holder is not None:
+            relay.holder.receive_frame(self.now, connection.distributor, frame)
+            self.process_relay_actions(relay)
+
+    def deliver_to_distributor(self, connection_id: int, frame: bytes) -> None:
+        connection = self.connections.get(connection_id)
+        distributor = self.distributors[connection.distributor] if connection else None
+        if (
+            distributor is not None
+            and distributor.core is not None
+            and distributor.incarnation == connection.incarnation
+        ):
+            distributor.core.receive_frame(self.now, connection_id, frame)
+            self.process_distributor_output(distributor)
+
+    def deliver_to_coordinator(self, distributor: DistributorProcess, frame: bytes) -> None:
         report = decode_frame(frame)
         assert isinstance(report, Report)
-        if not self.progress.report(self.now, report) and machine.core is not None:
-            machine.core.report_requested()
-            self.after_machine(machine)
+        if not self.progress.record_report(self.now, report) and distributor.core is not None:
+            distributor.core.request_full_report()
+            self.process_distributor_output(distributor)
 
-    # --- after each call of a core
+    # --- output of the cores
 
-    def after_machine(self, machine: Machine) -> None:
-        output = machine.core.turn(self.now)
-        machine.events.extend(output.events)
+    def process_distributor_output(self, distributor: DistributorProcess) -> None:
+        output = distributor.core.run_turn(self.now)
+        distributor.events.extend(output.events)
         for outgoing in output.frames:
-            link = self.links.get(outgoing.link)
-            if link is None:
+            connection = self.connections.get(outgoing.connection_id)
+            if connection is None:
                 continue
-            self.count_bytes(link, len(outgoing.frame))
+            self.record_sent_bytes(connection, len(outgoing.frame))
             if self.keep_frames:
-                link.frames.append(decode_frame(outgoing.frame))
-            frame = self.garbled(outgoing.frame)
-            self.carry(lambda number=outgoing.link, frame=frame: self.to_relay(number, frame))
+                connection.frames.append(decode_frame(outgoing.frame))
+            frame = self.maybe_corrupt(outgoing.frame)
+            self.transmit(
+                lambda connection_id=outgoing.connection_id, frame=frame: self.deliver_to_relay(
+                    connection_id, frame
+                )
+            )
         for frame in output.reports:
-            self.carry(lambda frame=frame: self.to_progress(machine, frame))
-        life = machine.life
-        if output.fetch_after is not None and not machine.register_cut:
-            after = output.fetch_after
-            self.at(self.delay(), lambda: self.serve_register(machine, life, after))
-        for number in output.fetch_partitions:
-            self.at(self.delay(), lambda number=number: self.repair(machine, life, number))
-        self.check_machine(machine)
-        self.set_timer(machine, machine.core, machine.core.wake_at(self.now), self.after_machine)
-
-    def repair(self, machine: Machine, life: int, number: int) -> None:
-        if machine.core is not None and machine.life == life and not machine.register_cut:
-            self.install(machine, number, self.register.versions[number])
-            self.after_machine(machine)
-
-    def after_relay(self, relay: Relay) -> None:
+            self.transmit(lambda frame=frame: self.deliver_to_coordinator(distributor, frame))
+        incarnation = distributor.incarnation
+        if output.fetch_changes_after is not None and not distributor.store_unreachable:
+            after = output.fetch_changes_after
+            self.schedule(self.draw_delay(), lambda: self.serve_store_fetch(distributor, incarnation, after))
+        for partition_id in output.fetch_partitions:
+            self.schedule(
+                self.draw_delay(),
+                lambda partition_id=partition_id: self.repair_partition(
+                    distributor, incarnation, partition_id
+                ),
+            )
+        self.check_distributor(distributor)
+        self.set_timer(
+            distributor,
+            distributor.core,
+            distributor.core.get_next_wake_time(self.now),
+            self.process_distributor_output,
+        )
+
+    def repair_partition(self, distributor: DistributorProcess, incarnation: int, partition_id: int) -> None:
+        if (
+            distributor.core is not None
+            and distributor.incarnation == incarnation
+            and not distributor.store_unreachable
+        ):
+            self.install_partition(distributor, partition_id, self.store.versions[partition_id])
+            self.process_distributor_output(distributor)
+
+    def process_relay_actions(self, relay: Relay) -> None:
         holder = relay.holder
-        step = holder.step()
-        for write in step.writes:
+        actions = holder.take_actions()
+        for write in actions.writes:
             relay.folder.write(write)
         self.check_relay(relay)
-        for frame in step.frames:
-            if relay.link:
-                frame = self.garbled(frame)
-                self.carry(lambda number=relay.link, frame=frame: self.to_machine(number, frame))
-        for word in step.words:
-            if relay.name not in self.cut:
-                self.carry(lambda word=word: self.give_word(relay, holder, word))
-        if step.connect is not None:
-            self.at(self.delay(), lambda: self.connect(relay, holder, step.connect))
-        relay.events.extend(step.events)
-        self.set_timer(relay, holder, holder.wake_at(), self.tick_relay)
-
-    def tick_relay(self, relay: Relay) -> None:
-        relay.holder.tick(self.now)
-        self.after_relay(relay)
-
-    def give_word(self, relay: Relay, holder: object, word: object) -> None:
+        for frame in actions.frames:
+            if relay.connection_id:
+                frame = self.maybe_corrupt(frame)
+                self.transmit(
+                    lambda connection_id=relay.connection_id, frame=frame: self.deliver_to_distributor(
+                        connection_id, frame
+                    )
+                )
+        for request in actions.digest_requests:
+            if relay.name not in self.disconnected_relays:
+                self.transmit(lambda request=request: self.answer_digest_request(relay, holder, request))
+        if actions.connect_to is not None:
+            self.schedule(self.draw_delay(), lambda: self.connect_relay(relay, holder, actions.connect_to))
+        relay.events.extend(actions.events)
+        self.set_timer(relay, holder, holder.get_next_wake_time(), self.advance_relay)
+
+    def advance_relay(self, relay: Relay) -> None:
+        relay.holder.advance_time(self.now)
+        self.process_relay_actions(relay)
+
+    def answer_digest_request(self, relay: Relay, holder: object, request: object) -> None:
         if relay.holder is holder:
-            self.replies += 1
-            known = (word.partition, word.version) in self.register.history
-            digest = self.register.digest(word.partition, word.version) if known else None
-            holder.word(self.now, word.partition, word.version, digest)
-            self.after_relay(relay)
+            self.digest_replies += 1
+            known = (request.partition, request.version) in self.store.history
+            digest = self.store.compute_digest_at(request.partition, request.version) if known else None
+            holder.receive_store_digest(self.now, request.partition, request.version, digest)
+            self.process_relay_actions(relay)
 
     def set_timer(self, owner: object, core: object, at: int, call: Callable) -> None:
-        """One timer for each owner; an earlier one replaces it."""
-        if owner.timer > self.now and owner.timer <= at:
+        """Set the owner's only timer; an earlier time replaces a later one."""
+        if owner.timer_at > self.now and owner.timer_at <= at:
             return
-        owner.timer = max(at, self.now + MILLISECOND)
-        mine = owner.timer
+        owner.timer_at = max(at, self.now + MILLISECOND)
+        armed_at = owner.timer_at
 
         def fire() -> None:
-            if owner.timer == mine:
-                owner.timer = 0
+            if owner.timer_at == armed_at:
+                owner.timer_at = 0
                 if core is (owner.holder if isinstance(owner, Relay) else owner.core):
                     call(owner)
 
-        self.at(owner.timer - self.now, fire)
+        self.schedule(owner.timer_at - self.now, fire)
 
-    # --- rules
+    # --- invariants
 
     def check_relay(self, relay: Relay) -> None:
         if set(relay.folder.replicas) - set(relay.holder.replicas):
-            raise AssertionError(f"{relay.name}: the folder has partitions that are not held")
-        for number in set(relay.floors) - set(relay.holder.replicas):
-            del relay.floors[number]
-        for number, replica in relay.holder.replicas.items():
-            floor = relay.floors.get(number, 0)
-            assert replica.version >= floor, f"{relay.name}: {number} fell from {floor} to {replica.version}"
-            relay.floors[number] = replica.version
-            relay.reached[number] = max(relay.reached[number], replica.version)
-            stored = relay.folder.replicas.get(number, StoredReplica(0, 0, {}))
+            raise AssertionError(f"{relay.name}: the folder has unassigned partitions")
+        for partition_id in set(relay.min_versions) - set(relay.holder.replicas):
+            del relay.min_versions[partition_id]
+        for partition_id, replica in relay.holder.replicas.items():
+            min_version = relay.min_versions.get(partition_id, 0)
+            assert (
+                replica.version >= min_version
+            ), f"{relay.name}: {partition_id} decreased from {min_version} to {replica.version}"
+            relay.min_versions[partition_id] = replica.version
+            relay.highest_versions[partition_id] = max(relay.highest_versions[partition_id], replica.version)
+            stored = relay.folder.replicas.get(partition_id, StoredReplica(0, 0, {}))
             assert (stored.version, stored.digest) == (replica.version, replica.digest), "the folder differs"
-            if (relay.name, number) not in self.tampered:
+            if (relay.name, partition_id) not in self.tampered_replicas:
                 assert (
-                    replica.entries == self.register.history[number, replica.version]
-                ), f"{relay.name}: partition {number} at {replica.version} is not the register's"
+                    replica.entries == self.store.history[partition_id, replica.version]
+                ), f"{relay.name}: partition {partition_id} at {replica.version} differs from the store's"
                 assert stored.entries == replica.entries, "the folder's entries differ"
 
-    def check_machine(self, machine: Machine) -> None:
-        core = machine.core
-        assert len(core.sessions) <= self.rules.relays_most
-        assert all(len(one.log or ()) <= self.rules.log_most for one in core.partitions.values())
-        assert len(core._timers) <= 16 * (len(self.relays) + 1), "timers pile up"
+    def check_distributor(self, distributor: DistributorProcess) -> None:
+        core = distributor.core
+        assert len(core.sessions) <= self.rules.max_relays
+        assert all(len(one.log or ()) <= self.rules.max_log_changes for one in core.partitions.values())
+        assert len(core._timers) <= 16 * (len(self.relays) + 1), "too many timers"
 
     def check_progress(self) -> None:
         progress = self.progress
-        assert progress.in_force >= self.said_in_force, "what is in force everywhere fell"
-        while self.said_in_force < progress.in_force:
-            self.said_in_force += 1
-            version = self.said_in_force
-            number = self.register.partition_of[version]
-            for name, assignment in self.moves.items():
-                if number in assignment.partitions:
+        assert progress.in_force >= self.checked_in_force, "the version in force decreased"
+        while self.checked_in_force < progress.in_force:
+            self.checked_in_force += 1
+            version = self.checked_in_force
+            partition_id = self.store.partition_of[version]
+            for name, assignment in self.assignments.items():
+                if partition_id in assignment.partitions:
                     assert (
-                        self.relays[name].reached[number] >= version
-                    ), f"{version} is said to be in force everywhere, {name} never had it"
-
-    def count_bytes(self, link: Link, size: int) -> None:
-        link.sent.append((self.now, size))
-        link.sent_bytes += size
-        link.bytes_to_relay += size
-        while link.sent[0][0] <= self.now - SECOND:
-            link.sent_bytes -= link.sent.popleft()[1]
-        assert link.sent_bytes <= BUDGET, f"{link.relay}: {link.sent_bytes} bytes in a second"
+                        self.relays[name].highest_versions[partition_id] >= version
+                    ), f"{version} is reported in force everywhere, but {name} never had it"
+
+    def record_sent_bytes(self, connection: Connection, size: int) -> None:
+        connection.sent.append((self.now, size))
+        connection.sent_bytes += size
+        connection.bytes_to_relay += size
+        while connection.sent[0][0] <= self.now - SECOND:
+            connection.sent_bytes -= connection.sent.popleft()[1]
+        assert (
+            connection.sent_bytes <= MAX_RELAY_BYTES_PER_SECOND
+        ), f"{connection.relay}: {connection.sent_bytes} bytes in a second"
