--- a/millweir/members/part.py
+++ b/millweir/members/part.py
@@ -261,7 +261,7 @@
         task = asyncio.current_task()
         try:
             if len(self._clients) >= MAX_CLIENTS:
-                writer.write(b'{"fault":"too many clients"}\n')
+                writer.write(b'{"fault":"too many callers"}\n')
                 return
             self._clients.add(task)
             async with asyncio.timeout(2):
@@ -275,10 +275,10 @@
             elif command == "watch":
                 await self._stream_events(reader, writer)
             else:
-                writer.write(b'{"fault":"unknown request"}\n')
+                writer.write(b'{"fault":"no such call"}\n')
             await writer.drain()
         except (OSError, TimeoutError, ValueError, msgspec.DecodeError):
-            writer.write(b'{"fault":"invalid request"}\n')
+            writer.write(b'{"fault":"no call"}\n')
         finally:
             self._clients.discard(task)
             writer.close()
