--- a/millweir/lab/scale/cores.py
+++ b/millweir/lab/scale/cores.py
@@ -18,7 +18,9 @@
 RATE = 1000.0  # calls a second that each destination takes
 LIMITS = Limits(descriptors=1024, disk_bytes=1 << 30, memory_bytes=1 << 30)
 CHUNK = 10_000  # entries told at once where it does not matter how many
-KIND, ZONE, TENANT = 0, 0, 0
+KIND = 0
+ZONE = 0
+TENANT = 0
 SERVICE_CLASS = 0  # idempotent, without order
 
 
--- a/millweir/lab/scale/membership_fleet.py
+++ b/millweir/lab/scale/membership_fleet.py
@@ -37,7 +37,8 @@
 BUILD_BASE = 3.0  # seconds
 BUILD_ROW = 60e-6  # seconds to make one row, on a machine that is busy with other things as well
 LINE_MOST = 1 << 26  # bytes of a report
-PORT_FIRST, PORT_LAST = 20_000, 30_000  # below those that the kernel gives to clients
+PORT_FIRST = 20_000
+PORT_LAST = 30_000  # below those that the kernel gives to clients
 END_TIME = 5.0  # seconds until a process that was told to end is killed
 
 
--- a/millweir/lab/scale/membership_simulated.py
+++ b/millweir/lab/scale/membership_simulated.py
@@ -27,7 +27,10 @@
 LOOK_EVERY = SECOND // 4
 RACK_SECONDS = ZONE_SECONDS = HEALED_SECONDS = 40
 CUT_SECONDS = 120
-RACK, ZONE, REGION_CUT, REGION_HEALED = "rack", "zone", "region-cut", "region-healed"
+RACK = "rack"
+ZONE = "zone"
+REGION_CUT = "region-cut"
+REGION_HEALED = "region-healed"
 
 
 @dataclass(slots=True)
--- a/millweir/lab/scale/placement.py
+++ b/millweir/lab/scale/placement.py
@@ -46,10 +46,12 @@
 from millweir.placement.strategies import BoundedRing, RangeSplitting, Rendezvous, Strategy
 
 REPLICAS = 3
-ZONES, REGIONS = 11, 4
+ZONES = 11
+REGIONS = 4
 DESTINATIONS_PER_RELAY = 1_300_000 / 4_900
 TRAFFIC_EXPONENT = 0.7  # Zipf; an assumption
-MEMORY_A_RELAY, MEMORY_BASE = 64 << 10, 256 << 20  # for the plan
+MEMORY_A_RELAY = 64 << 10  # for the plan
+MEMORY_BASE = 256 << 20  # for the plan
 LOOKUPS = 20_000
 HOLDERS = 20  # of which memory and look-ups are measured
 Table = Sequence[tuple[str, ...]]
--- a/tests/lab/test_scale_register.py
+++ b/tests/lab/test_scale_register.py
@@ -24,7 +24,8 @@
 )
 from millweir.store.core import SECOND
 
-SMALL, LARGE = 20, 80
+SMALL = 20
+LARGE = 80
 GROWTH = LARGE / SMALL
 SEED = 5
 BEATS_SECOND = 8  # a heartbeat every 125 ms
