--- a/millweir/cli/lab.py
+++ b/millweir/cli/lab.py
@@ -152,7 +152,7 @@
         raise click.ClickException(str(error)) from None
     text = page.render(model)
     if write:
-        page.PAGE.write_text(text)
+        page.PAGE_PATH.write_text(text)
     else:
         click.echo(text, nl=False)
     if plot:
--- a/millweir/lab/capacity/__init__.py
+++ b/millweir/lab/capacity/__init__.py
@@ -1,6 +1,6 @@
-"""Capacity at the target size, worked out from measured slopes: `millweir lab capacity`.
+"""Capacity model of a fleet at its target size, extrapolated from measurements: `millweir lab capacity`.
 
-`assumptions.py` reads the operators' figures and our assumptions, `fits.py` turns measurements into slopes,
-`model.py` says what a row is and `rows*.py` list them by role, `ranking.py` finds where a row goes over its
-budget, `page.py` writes docs/CAPACITY.md.
+`assumptions.py` reads the operators' targets and our assumptions, `fits.py` fits slopes to the measurements,
+`model.py` defines the rows of the model and evaluates them, `rows*.py` list the rows by role, `ranking.py`
+finds the fleet size at which each row exceeds its budget, `page.py` renders docs/CAPACITY.md.
 """
--- a/millweir/lab/capacity/assumptions.py
+++ b/millweir/lab/capacity/assumptions.py
@@ -1,4 +1,4 @@
-"""The operators' figures and our assumptions, read from docs/capacity/assumptions.toml."""
+"""Reads the operators' targets and our assumptions from docs/capacity/assumptions.toml."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 from millweir.lab.scale.measurement import ROOT
 
-PATH = ROOT / "docs" / "capacity" / "assumptions.toml"
+ASSUMPTIONS_PATH = ROOT / "docs" / "capacity" / "assumptions.toml"
 
 
 class UnreadableAssumptions(ValueError):
-    """The file of assumptions can't be read; the text says what is wrong with it."""
+    """The assumptions file cannot be read or decoded; the message names the file and the error."""
 
 
-class Stated(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One figure that is not measured: a value with its unit and what it means."""
+class InputValue(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """One input of the model that is given, not measured: a value, its unit and its meaning."""
 
     value: float
     unit: str
@@ -25,83 +25,83 @@
 
 
 class Targets(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The operators' figures, in the order of the page."""
-
-    relays: Stated
-    events_second: Stated
-    destinations: Stated
-    destinations_down: Stated
-    backlog: Stated
-    regions: Stated
-    zones: Stated
-    changes_day: Stated
-    in_force: Stated
-    control_processor: Stated
-    control_memory: Stated
-    control_bytes: Stated
-    control_machines: Stated
-    machines_lost_day: Stated
-    restarts_day: Stated
-    racks_lost_year: Stated
-    zones_lost_year: Stated
-    region_cuts_year: Stated
+    """Figures given by the operators, in the order of the page."""
+
+    relays: InputValue
+    events_second: InputValue
+    destinations: InputValue
+    destinations_down: InputValue
+    backlog: InputValue
+    regions: InputValue
+    zones: InputValue
+    changes_day: InputValue
+    in_force: InputValue
+    control_processor: InputValue
+    control_memory: InputValue
+    control_bytes: InputValue
+    control_machines: InputValue
+    machines_lost_day: InputValue
+    restarts_day: InputValue
+    racks_lost_year: InputValue
+    zones_lost_year: InputValue
+    region_cuts_year: InputValue
 
 
 class Assumptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Ours, where the operators are silent, in the order of the page."""
-
-    message_bytes: Stated
-    attempts: Stated
-    hosts_destination: Stated
-    entry_bytes: Stated
-    hold_bytes: Stated
-    relays_rack: Stated
-    busiest_share: Stated
-    imbalance: Stated
-    small_limit: Stated
-    calls_to_learn: Stated
-    partitions: Stated
-    replicas: Stated
-    copies: Stated
-    changes_busiest_second: Stated
-    changes_busiest_minute: Stated
-    digest_bytes: Stated
-    restart_interval: Stated
-    restart_wave: Stated
-    region_cut: Stated
-    refill_time: Stated
-    start_time: Stated
-    pause_longest: Stated
-    takeover_time: Stated
-    spare_share: Stated
-    relay_cores: Stated
-    relay_memory: Stated
-    relay_disk: Stated
-    relay_network: Stated
-    voters: Stated
-    machine_cores: Stated
-    machine_memory: Stated
-    machine_network: Stated
-    machine_disk: Stated
-    lease: Stated
+    """Our assumptions where the operators give no figure, in the order of the page."""
+
+    message_bytes: InputValue
+    attempts: InputValue
+    hosts_destination: InputValue
+    entry_bytes: InputValue
+    hold_bytes: InputValue
+    relays_rack: InputValue
+    busiest_share: InputValue
+    imbalance: InputValue
+    small_limit: InputValue
+    calls_to_learn: InputValue
+    partitions: InputValue
+    replicas: InputValue
+    copies: InputValue
+    changes_busiest_second: InputValue
+    changes_busiest_minute: InputValue
+    digest_bytes: InputValue
+    restart_interval: InputValue
+    restart_wave: InputValue
+    region_cut: InputValue
+    refill_time: InputValue
+    start_time: InputValue
+    pause_longest: InputValue
+    takeover_time: InputValue
+    spare_share: InputValue
+    relay_cores: InputValue
+    relay_memory: InputValue
+    relay_disk: InputValue
+    relay_network: InputValue
+    voters: InputValue
+    machine_cores: InputValue
+    machine_memory: InputValue
+    machine_network: InputValue
+    machine_disk: InputValue
+    lease: InputValue
 
 
 class Inputs(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The whole file."""
+    """The contents of the assumptions file."""
 
     targets: Targets
     assumptions: Assumptions
 
 
-def read_inputs(path: Path = PATH) -> Inputs:
-    """The file's figures; UnreadableAssumptions."""
+def read_inputs(path: Path = ASSUMPTIONS_PATH) -> Inputs:
+    """Read the assumptions file; raises UnreadableAssumptions."""
     try:
         return msgspec.toml.decode(path.read_bytes(), type=Inputs)
-    except (OSError, msgspec.MsgspecError) as fault:
-        raise UnreadableAssumptions(f"{path.name}: {fault}") from fault
+    except (OSError, msgspec.MsgspecError) as error:
+        raise UnreadableAssumptions(f"{path.name}: {error}") from error
 
 
-def stated_by_name(group: Targets | Assumptions) -> Iterator[tuple[str, Stated]]:
-    """All figures of a group with their names."""
+def iterate_inputs(group: Targets | Assumptions) -> Iterator[tuple[str, InputValue]]:
+    """Yield the name and value of each input in a group."""
     for name in group.__struct_fields__:
         yield name, getattr(group, name)
--- a/millweir/lab/capacity/keys.py
+++ b/millweir/lab/capacity/keys.py
@@ -1,97 +1,102 @@
-"""Names of the slopes that the rows rest on, as the scale tests write them (`millweir/lab/scale/`)."""
+"""Keys of the slopes that the rows use, by the names that the scale tests write (`millweir/lab/scale/`)."""
 
 from __future__ import annotations
 
-from millweir.lab.capacity.model import SlopeKey, Trouble
+from millweir.lab.capacity.model import Fault, SlopeKey
 
-# Decisions: size is destinations.
-DESTINATIONS_MEMORY = SlopeKey("decisions", "memory")  # bytes of all, with one host each
-FIRST_LIST_TIME = SlopeKey("decisions", "first-list")  # seconds, the whole list
-DECIDED_CHANGE_TIME = SlopeKey("decisions", "one-change")  # seconds, in the decisions alone
-RELAY_CHANGE_TIME = SlopeKey("decisions", "relay-change")  # seconds, from discovery's answer to the end
-TURN_TIME = SlopeKey("decisions", "turn")  # seconds, one event sent
-ANSWER_TIME = SlopeKey("decisions", "turn-after-answer")  # seconds, its answer
-IDLE_TICK_TIME = SlopeKey("decisions", "idle-tick")  # seconds, a tick that finds nothing due
+# Decisions: size is the number of destinations.
+DESTINATIONS_MEMORY = SlopeKey("decisions", "memory")  # bytes for all destinations, with one host each
+INITIAL_LIST_TIME = SlopeKey("decisions", "first-list")  # seconds to apply the full destination list
+DECISION_CHANGE_TIME = SlopeKey("decisions", "one-change")  # seconds, in the decision module alone
+RELAY_CHANGE_TIME = SlopeKey("decisions", "relay-change")  # seconds, from discovery response to applied
+SEND_TURN_TIME = SlopeKey("decisions", "turn")  # seconds, a turn that sends one event
+RESPONSE_TURN_TIME = SlopeKey("decisions", "turn-after-answer")  # seconds, the turn after its response
+IDLE_TICK_TIME = SlopeKey("decisions", "idle-tick")  # seconds, a tick with no timer due
 LOST_CALL_TIME = SlopeKey("decisions", "lost-call")  # seconds
 
-# Held events: size is events held by one relay.
-HELD_MEMORY = SlopeKey("held", "memory-each")  # bytes, without body, journal's record and network code
-HELD_FIRST_LIST_TIME = SlopeKey("held", "first-list")  # seconds, to a relay that holds them already
+# Held events: size is the number of events held by one relay.
+# Bytes per event, without its body, its journal record and the objects of the network code.
+HELD_EVENT_MEMORY = SlopeKey("held", "memory-each")
+HELD_INITIAL_LIST_TIME = SlopeKey("held", "first-list")  # seconds, on a relay that already holds the events
 HELD_IDLE_TICK_TIME = SlopeKey("held", "idle-tick")  # seconds
-SATURATED_TURN_TIME = SlopeKey("held", "turn-after-answer", "saturated")  # seconds
-FULL_TURN_TIME = SlopeKey("held", "held-turn", "full")  # seconds
-
-# Journal: size is events owed.
-JOURNAL_BODY = 200.0  # bytes of each event's body in the scale test
-JOURNAL_BYTES = SlopeKey("journal", "bytes-each")  # on disk, with the body
-JOURNAL_MEMORY = SlopeKey("journal", "memory-each")  # of an event's record, with the body
-JOURNAL_START_TIME = SlopeKey("journal", "start-wall")  # seconds
-JOURNAL_HAND_IN_TIME = SlopeKey("journal", "hand-in")  # seconds
-JOURNAL_PAUSE = SlopeKey("journal", "compaction-wall")  # seconds
-JOURNAL_PEAK = SlopeKey("journal", "compaction-peak")  # bytes
-
-# Membership: size is members.
-TABLE_MEMORY = SlopeKey("membership", "memory-table-unshared")
+SATURATED_TURN_TIME = SlopeKey("held", "turn-after-answer", "saturated")  # seconds, all slots in flight
+HELD_LIMIT_TURN_TIME = SlopeKey("held", "held-turn", "full")  # seconds, as many events held as allowed
+
+# Journal: size is the number of events without a final outcome.
+JOURNAL_BODY_BYTES = 200.0  # body of each event in the scale test
+JOURNAL_EVENT_BYTES = SlopeKey("journal", "bytes-each")  # on disk per event, with the body
+JOURNAL_EVENT_MEMORY = SlopeKey("journal", "memory-each")  # of one event's record, with the body
+JOURNAL_READ_TIME = SlopeKey("journal", "start-wall")  # seconds
+JOURNAL_RESTORE_TIME = SlopeKey("journal", "hand-in")  # seconds
+JOURNAL_COMPACTION_TIME = SlopeKey("journal", "compaction-wall")  # seconds
+JOURNAL_COMPACTION_PEAK_MEMORY = SlopeKey("journal", "compaction-peak")  # bytes
+
+# Membership: size is the number of members.
+MEMBER_TABLE_MEMORY = SlopeKey("membership", "memory-table-unshared")
 FULL_STATE_BYTES = SlopeKey("membership", "full-state-bytes")
 
-# Register: size is owners.
+# Replicated store: size is the number of owners.
 LEASED_OWNER_BYTES = SlopeKey("register", "leased-owner-bytes-second")
-STATE_MEMORY = SlopeKey("register", "state-memory")
-SNAPSHOT_BYTES = SlopeKey("register", "snapshot-bytes")
+OWNERSHIP_MEMORY = SlopeKey("register", "state-memory")
+OWNERSHIP_SNAPSHOT_BYTES = SlopeKey("register", "snapshot-bytes")
 ASSIGNMENT_BYTES = SlopeKey("register", "assignment-bytes")
 
-# Placement: size is relays.
-HOLDER_MEMORY = SlopeKey("placement", "holder-memory")  # at a relay
-PART_BYTES = SlopeKey("placement", "part-bytes")  # of a relay
-CORE_MEMORY = SlopeKey("placement", "core-memory")  # where assignments are made
-MOVED_BY_A_CUT = SlopeKey("placement", "replicas-moved", "region-cut")
+# Placement: size is the number of relays.
+RELAY_ASSIGNMENT_MEMORY = SlopeKey("placement", "holder-memory")  # at one relay
+RELAY_ASSIGNMENT_BYTES = SlopeKey("placement", "part-bytes")  # of one relay
+PLACEMENT_CORE_MEMORY = SlopeKey("placement", "core-memory")  # at the member that computes the assignment
+REPLICAS_MOVED_BY_REGION_CUT = SlopeKey("placement", "replicas-moved", "region-cut")
 LOOKUP_TIME = SlopeKey("placement", "lookup-seconds")
 
-# Configuration: size is relays, destinations grow with them; troubles are what the scale test does.
-CHANGES_AT_MEAN = "changes-at-mean"
-FIFTY_IN_A_SECOND = "fifty-in-a-second"
-COMMON_CHANGE = "common-change"  # of what all relays hold
-FIFTY_COMMON = "fifty-common"
-START_WITH_FOLDER = "start-with-folder"  # all relays at once
-START_WITHOUT_FOLDER = "start-without-folder"  # one in fifty
+# Configuration: size is the number of relays, destinations grow in proportion.  The fault of a key is the
+# workload of the scale test.
+MEAN_CHANGE_RATE = "changes-at-mean"
+FIFTY_CHANGES_IN_ONE_SECOND = "fifty-in-a-second"
+CHANGE_FOR_ALL_RELAYS = "common-change"  # to an entry that all relays hold
+FIFTY_CHANGES_FOR_ALL_RELAYS = "fifty-common"
+START_WITH_STORED_CONFIGURATION = "start-with-folder"  # all relays start at once
+START_WITHOUT_STORED_CONFIGURATION = "start-without-folder"  # one relay in fifty starts
 
 
-def configuration(quantity: str, doing: str) -> SlopeKey:
-    """A quantity of the distribution of configuration."""
-    return SlopeKey("configuration", quantity, doing)
+def make_configuration_key(quantity: str, workload: str) -> SlopeKey:
+    """Return the key of a quantity of configuration distribution."""
+    return SlopeKey("configuration", quantity, workload)
 
 
-REGISTER_TROUBLES = {
-    Trouble.MACHINE: "machine",
-    Trouble.RACK: "rack",
-    Trouble.ZONE: "zone",
-    Trouble.REGION: "region",
+REGISTER_FAULTS = {
+    Fault.MACHINE_LOST: "machine",
+    Fault.RACK_LOST: "rack",
+    Fault.ZONE_LOST: "zone",
+    Fault.REGION_CUT: "region",
 }
-MEMBERSHIP_TROUBLES = {
-    Trouble.CALM: ("calm",),
-    Trouble.RESTARTS: ("restart",),
-    Trouble.RACK: ("rack",),
-    Trouble.ZONE: ("zone",),
-    Trouble.REGION: ("region-cut", "region-healed"),
+MEMBERSHIP_FAULTS = {
+    Fault.NONE: ("calm",),
+    Fault.RESTARTS: ("restart",),
+    Fault.RACK_LOST: ("rack",),
+    Fault.ZONE_LOST: ("zone",),
+    Fault.REGION_CUT: ("region-cut", "region-healed"),
 }
+PLACEMENT_FAULTS = {Fault.MACHINE_LOST: "leave", Fault.ZONE_LOST: "zone-lost"}
 
 
-PLACEMENT_TROUBLES = {Trouble.MACHINE: "leave", Trouble.ZONE: "zone-lost"}
+def make_placement_key(quantity: str, fault: Fault) -> SlopeKey:
+    """Return the key of a quantity of placement under a fault."""
+    return SlopeKey("placement", quantity, PLACEMENT_FAULTS[fault])
 
 
-def placement_trouble(quantity: str, trouble: Trouble) -> SlopeKey:
-    return SlopeKey("placement", quantity, PLACEMENT_TROUBLES[trouble])
+def make_sender_learning_key(quantity: str, has_placement: bool, fault: str) -> SlopeKey:
+    """Return the key of what senders learn about a small destination.
 
+    With placement only the replicas of its partition send to it, without placement all relays do.
+    """
+    return SlopeKey("placement", f"{quantity}-{'placed' if has_placement else 'unplaced'}", fault)
 
-def senders_learn(quantity: str, is_placed: bool, trouble: str) -> SlopeKey:
-    """What senders learn of a small destination: as replicas of its partition, or as the whole fleet."""
-    return SlopeKey("placement", f"{quantity}-{'placed' if is_placed else 'unplaced'}", trouble)
 
-
-def renewals(design: str, quantity: str) -> SlopeKey:
-    """A quantity of one of the register's two designs of renewal."""
+def make_renewal_key(design: str, quantity: str) -> SlopeKey:
+    """Return the key of a quantity of one of the two lease renewal designs of the replicated store."""
     return SlopeKey("register", f"{design}-{quantity}")
 
 
-def register_trouble(quantity: str, trouble: Trouble) -> SlopeKey:
-    return SlopeKey("register", quantity, REGISTER_TROUBLES[trouble])
+def make_register_key(quantity: str, fault: Fault) -> SlopeKey:
+    """Return the key of a quantity of the replicated store under a fault."""
+    return SlopeKey("register", quantity, REGISTER_FAULTS[fault])
--- a/millweir/lab/capacity/model.py
+++ b/millweir/lab/capacity/model.py
@@ -1,8 +1,8 @@
-"""What a row of the capacity model is, and how its figure is worked out for a fleet of some size.
+"""Defines the rows of the capacity model and evaluates them for a fleet of a given size.
 
-A fleet is given by its share of the operators' target: relays, destinations, events, backlog, changes and
-restarts all grow together.  A row belongs to a role and a trouble; its figure is worked out from slopes,
-targets and assumptions by a `Calculation`, which keeps note of the slopes that were used and at which size.
+The size of a fleet is a fraction of the operators' target: relays, destinations, events, backlog, changes and
+restarts all grow in proportion.  A row belongs to a role and a fault.  A `Calculation` computes its figure
+from slopes, targets and assumptions, and records which slopes were used and at which size.
 """
 
 from __future__ import annotations
@@ -11,39 +11,39 @@
 from dataclasses import dataclass, field, replace
 from enum import Enum
 
-from millweir.lab.capacity.assumptions import Assumptions, Inputs, Stated, Targets
-from millweir.lab.capacity.fits import LargestMeasured, Point, Slope, slope_or_largest
+from millweir.lab.capacity.assumptions import Assumptions, Inputs, InputValue, Targets
+from millweir.lab.capacity.fits import Point, Slope, UnfittedSlope, fit_slope_if_possible
 from millweir.lab.scale.measurement import Measurement
 
-DAY = 86_400.0
-MINUTE = 60.0
+SECONDS_PER_DAY = 86_400.0
+SECONDS_PER_MINUTE = 60.0
 
 
 class Role(Enum):
-    """Who bears a row's load."""
+    """The component that bears the load of a row."""
 
     DATA = "Relay: data path"
     CONTROL = "Relay: control"
     VOTER = "Voter of the register"
     DISTRIBUTOR = "Holder and distributor of configuration"
-    TAKER = "Taker after a loss"
+    TAKEOVER = "Taker after a loss"
     MACHINES = "The machines set aside for control"
 
 
-class Trouble(Enum):
-    """What goes on meanwhile."""
+class Fault(Enum):
+    """The fault or disturbance under which a row is computed."""
 
-    CALM = "calm"
-    MACHINE = "a machine lost"
+    NONE = "calm"
+    MACHINE_LOST = "a machine lost"
     RESTARTS = "restarts, spread over the day"
-    WAVE = "restarts as a wave"
-    RACK = "a rack lost"
-    ZONE = "a zone lost, or back"
-    REGION = "a region cut off, or back"
+    RESTART_WAVE = "restarts as a wave"
+    RACK_LOST = "a rack lost"
+    ZONE_LOST = "a zone lost, or back"
+    REGION_CUT = "a region cut off, or back"
 
 
 class Resource(Enum):
-    """What a figure is an amount of."""
+    """The kind of resource that a figure measures."""
 
     STATE = "state"
     MESSAGES = "messages"
@@ -56,29 +56,30 @@
 
 
 class Stage(Enum):
-    """Which design a row stands for."""
+    """The stage of the fleet's design that a row describes."""
 
-    BOTH = "any"
-    BEFORE = "before placement"  # every relay is told of every destination
-    AFTER = "with placement"
-    ALTERNATIVE = "weighed, not taken"
+    ANY = "any"
+    BEFORE_PLACEMENT = "before placement"  # every relay receives every destination
+    WITH_PLACEMENT = "with placement"
+    REJECTED_ALTERNATIVE = "weighed, not taken"
 
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """A limit on a figure: a name among the targets (the operators') or the assumptions (ours)."""
+    """An upper limit of a figure, by its name in the targets (set by the operators) or in our assumptions."""
 
     name: str
-    is_operators: bool
+    is_set_by_operators: bool
 
-    def stated(self, inputs: Inputs) -> Stated:
-        group = inputs.targets if self.is_operators else inputs.assumptions
+    def get_input(self, inputs: Inputs) -> InputValue:
+        """Look up the limit in the inputs."""
+        group = inputs.targets if self.is_set_by_operators else inputs.assumptions
         return getattr(group, self.name)
 
 
 @dataclass(frozen=True, slots=True)
 class Mechanism:
-    """What carries a row: files of this repository, or the issue under which it is missing."""
+    """What implements a row: files of this repository, or the issue that tracks a missing mechanism."""
 
     name: str
     files: tuple[str, ...] = ()
@@ -87,21 +88,21 @@
 
 @dataclass(frozen=True, slots=True)
 class SlopeKey:
-    """Where a slope's measurements are."""
+    """Identifies the measurements of a slope."""
 
-    part: str
+    part: str  # of the scale tests
     quantity: str
-    trouble: str = "calm"
-    is_simulated: bool = False  # in simulated time, not on sockets
+    fault: str = "calm"
+    is_simulated: bool = False  # measured in simulated time, not on sockets
 
     def __str__(self) -> str:
-        trouble = "" if self.trouble == "calm" else f" ({self.trouble})"
+        fault = "" if self.fault == "calm" else f" ({self.fault})"
         simulated = " simulated" if self.is_simulated else ""
-        return f"{self.part}/{self.quantity}{trouble}{simulated}"
+        return f"{self.part}/{self.quantity}{fault}{simulated}"
 
 
 class NotMeasured(LookupError):
-    """No measurements for a slope."""
+    """A slope has no measurements."""
 
     def __init__(self, key: SlopeKey) -> None:
         super().__init__(str(key))
@@ -109,21 +110,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Measured:
-    """All that was measured of one quantity, and its slope."""
+class MeasuredQuantity:
+    """A quantity with the slope fitted to its measurements."""
 
     key: SlopeKey
     unit: str
-    slope: Slope | LargestMeasured
-    spread: float  # at the largest size: greatest less least, over the value
+    slope: Slope | UnfittedSlope
+    spread: float  # at the largest size: (maximum - minimum) / value
 
 
-Slopes = dict[SlopeKey, Measured]
+Slopes = dict[SlopeKey, MeasuredQuantity]
 
 
 @dataclass(frozen=True, slots=True)
 class Source:
-    """Where the measurements of a part come from."""
+    """Origin of the measurements of one part of the scale tests."""
 
     part: str
     records: int
@@ -132,8 +133,8 @@
     machines: tuple[str, ...]
 
 
-def sources_of(measurements: Iterable[Measurement]) -> list[Source]:
-    """The sources of all parts, by name."""
+def collect_sources(measurements: Iterable[Measurement]) -> list[Source]:
+    """Return the sources of all parts, sorted by name."""
     groups: dict[str, list[Measurement]] = {}
     for measurement in measurements:
         groups.setdefault(measurement.figure.part, []).append(measurement)
@@ -141,16 +142,16 @@
         Source(
             part=part,
             records=len(group),
-            seeds=tuple(sorted({one.seed for one in group})),
-            commits=tuple(sorted({one.commit for one in group})),
-            machines=tuple(sorted({one.machine for one in group})),
+            seeds=tuple(sorted({measurement.seed for measurement in group})),
+            commits=tuple(sorted({measurement.commit for measurement in group})),
+            machines=tuple(sorted({measurement.machine for measurement in group})),
         )
         for part, group in sorted(groups.items())
     ]
 
 
 def fit_measurements(measurements: Iterable[Measurement]) -> Slopes:
-    """A slope for each quantity and trouble."""
+    """Fit a slope for each quantity and fault."""
     groups: dict[SlopeKey, list[Measurement]] = {}
     for measurement in measurements:
         figure = measurement.figure
@@ -159,28 +160,28 @@
     return {key: _fit_group(key, group) for key, group in groups.items()}
 
 
-def choose_slope(key: SlopeKey, slopes: Slopes) -> Measured | None:
-    """What was measured on sockets, if that is fitted; else what was simulated, if that is; else either."""
-    either = [slopes.get(replace(key, is_simulated=simulated)) for simulated in (False, True)]
-    there = [measured for measured in either if measured]
-    fitted = [measured for measured in there if isinstance(measured.slope, Slope)]
-    return next(iter(fitted or there), None)
+def choose_slope(key: SlopeKey, slopes: Slopes) -> MeasuredQuantity | None:
+    """Prefer a fitted slope over an unfitted one, then one measured on sockets over a simulated one."""
+    candidates = [slopes.get(replace(key, is_simulated=simulated)) for simulated in (False, True)]
+    available = [measured for measured in candidates if measured]
+    fitted = [measured for measured in available if isinstance(measured.slope, Slope)]
+    return next(iter(fitted or available), None)
 
 
-def _fit_group(key: SlopeKey, group: list[Measurement]) -> Measured:
+def _fit_group(key: SlopeKey, group: list[Measurement]) -> MeasuredQuantity:
     points = [Point(measurement.figure.size, measurement.figure.value) for measurement in group]
-    return Measured(
+    return MeasuredQuantity(
         key=key,
         unit=group[0].figure.unit,
-        slope=slope_or_largest(points),
-        spread=_spread(group),
+        slope=fit_slope_if_possible(points),
+        spread=_compute_spread(group),
     )
 
 
-def _spread(group: list[Measurement]) -> float:
-    """Between the repeats, or the members, at the largest size."""
-    largest = max(measurement.figure.size for measurement in group)
-    figures = [measurement.figure for measurement in group if measurement.figure.size == largest]
+def _compute_spread(group: list[Measurement]) -> float:
+    """Compute the relative spread of the repeats, or of the members, at the largest size."""
+    largest_size = max(measurement.figure.size for measurement in group)
+    figures = [measurement.figure for measurement in group if measurement.figure.size == largest_size]
     low, high = min(figure.low for figure in figures), max(figure.high for figure in figures)
     value = abs(figures[-1].value)
     return (high - low) / value if value else 0.0
@@ -188,11 +189,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Fleet:
-    """A fleet of a share of the target's size."""
+    """A fleet whose size is a fraction of the target's."""
 
     inputs: Inputs
-    share: float = 1.0
-    backlog_share: float = 1.0  # of the events held by each relay
+    target_fraction: float = 1.0
+    backlog_fraction: float = 1.0  # of the target's events held by each relay
 
     @property
     def targets(self) -> Targets:
@@ -204,167 +205,176 @@
 
     @property
     def relays(self) -> float:
-        return self.targets.relays.value * self.share
+        return self.targets.relays.value * self.target_fraction
 
     @property
     def destinations(self) -> float:
-        return self.targets.destinations.value * self.share
+        return self.targets.destinations.value * self.target_fraction
 
     @property
-    def events_second(self) -> float:
-        return self.targets.events_second.value * self.share
+    def events_per_second(self) -> float:
+        return self.targets.events_second.value * self.target_fraction
 
     @property
     def backlog(self) -> float:
-        return self.targets.backlog.value * self.share * self.backlog_share
+        return self.targets.backlog.value * self.target_fraction * self.backlog_fraction
 
     @property
-    def changes_day(self) -> float:
-        return self.targets.changes_day.value * self.share
+    def changes_per_day(self) -> float:
+        return self.targets.changes_day.value * self.target_fraction
 
     @property
-    def changes_busiest_second(self) -> float:
-        return self.assumptions.changes_busiest_second.value * self.share
+    def changes_in_busiest_second(self) -> float:
+        return self.assumptions.changes_busiest_second.value * self.target_fraction
 
     @property
-    def changes_busiest_minute(self) -> float:
-        return self.assumptions.changes_busiest_minute.value * self.share
+    def changes_in_busiest_minute(self) -> float:
+        return self.assumptions.changes_busiest_minute.value * self.target_fraction
 
     @property
-    def restarts_day(self) -> float:
-        return self.targets.restarts_day.value * self.share
+    def restarts_per_day(self) -> float:
+        return self.targets.restarts_day.value * self.target_fraction
 
     @property
-    def machines_lost_day(self) -> float:
-        return self.targets.machines_lost_day.value * self.share
+    def machines_lost_per_day(self) -> float:
+        return self.targets.machines_lost_day.value * self.target_fraction
 
     @property
     def replicas(self) -> float:
         return min(self.assumptions.replicas.value, self.relays)
 
     @property
-    def own_destinations(self) -> float:
-        """Destinations of the fullest relay, with placement."""
+    def max_destinations_per_relay(self) -> float:
+        """Destinations of the relay that holds the most, with placement."""
         mean = self.destinations * self.replicas / self.relays
         return min(self.destinations, mean * self.assumptions.imbalance.value)
 
     @property
-    def events_relay(self) -> float:
-        """Events a second at a relay."""
-        return self.events_second / self.relays
+    def relay_events_per_second(self) -> float:
+        """Events taken in per second by one relay."""
+        return self.events_per_second / self.relays
 
     @property
-    def held_relay(self) -> float:
-        """Events held by a relay."""
+    def events_held_per_relay(self) -> float:
         return self.backlog / self.relays
 
     @property
-    def rack(self) -> float:
+    def relays_per_rack(self) -> float:
         return min(self.assumptions.relays_rack.value, self.relays)
 
     @property
-    def zone(self) -> float:
+    def relays_per_zone(self) -> float:
         return self.relays / self.targets.zones.value
 
     @property
-    def region(self) -> float:
+    def relays_per_region(self) -> float:
         return self.relays / self.targets.regions.value
 
     @property
     def distributors(self) -> float:
-        """Control machines that are no voters."""
+        """Control machines that are not voters."""
         return max(1.0, self.targets.control_machines.value - self.assumptions.voters.value)
 
 
 @dataclass(slots=True)
 class Calculation:
-    """Works out figures for one fleet; keeps note of the slopes that were used, and of those that lack."""
+    """Computes figures for one fleet; records the slopes that were used and the keys without measurements."""
 
     fleet: Fleet
     slopes: Slopes
-    used: dict[SlopeKey, float] = field(default_factory=dict)  # the greatest size that it was used at
-    lacking: list[SlopeKey] = field(default_factory=list)
-
-    def measured(self, key: SlopeKey, size: float) -> float:
-        """A slope's value at a size; NotMeasured."""
-        found = choose_slope(key, self.slopes)
-        if found is None:
-            self.lacking.append(key)
+    used_sizes: dict[SlopeKey, float] = field(default_factory=dict)  # largest size used
+    missing_keys: list[SlopeKey] = field(default_factory=list)
+
+    def evaluate_slope(self, key: SlopeKey, size: float) -> float:
+        """Return the value of a slope at a size; raises NotMeasured."""
+        measured = choose_slope(key, self.slopes)
+        if measured is None:
+            self.missing_keys.append(key)
             raise NotMeasured(key)
-        self.used[found.key] = max(size, self.used.get(found.key, 0.0))
-        return found.slope.at(size)
+        self.used_sizes[measured.key] = max(size, self.used_sizes.get(measured.key, 0.0))
+        return measured.slope.value_at(size)
 
-    def total(self, rows: Iterable[Row]) -> float:
-        """The sum of rows; those that are not measured are left out, NotMeasured where all are."""
-        found = []
+    def sum_rows(self, rows: Iterable[Row]) -> float:
+        """Sum the rows that are measured; raises NotMeasured if none is."""
+        figures = []
         for row in rows:
             try:
-                found.append(row.figure(self))
-            except NotMeasured as lacking:
-                last = lacking
-        if not found:
-            raise last
-        return sum(found)
+                figures.append(row.compute_figure(self))
+            except NotMeasured as error:
+                last_error = error
+        if not figures:
+            raise last_error
+        return sum(figures)
 
 
-FigureOf = Callable[[Calculation], float]
+FigureFunction = Callable[[Calculation], float]
 
 
-def by_relays(key: SlopeKey) -> FigureOf:
-    """The figure of a slope whose size is the relays."""
-    return lambda calculation: calculation.measured(key, calculation.fleet.relays)
+def evaluate_at_relay_count(key: SlopeKey) -> FigureFunction:
+    """Return a function that evaluates a slope at the fleet's number of relays."""
+    return lambda calculation: calculation.evaluate_slope(key, calculation.fleet.relays)
 
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """One line of the model."""
+    """One figure of the model: what a role spends or holds under a fault."""
 
     role: Role
     name: str
     resource: Resource
     unit: str
-    figure: FigureOf
+    compute_figure: FigureFunction
     mechanism: Mechanism
-    trouble: Trouble = Trouble.CALM
-    stage: Stage = Stage.BOTH
+    fault: Fault = Fault.NONE
+    stage: Stage = Stage.ANY
     budget: Budget | None = None
-    remedy: Mechanism | None = None  # what takes it below its budget
-    in_total: bool = False  # counts towards the sum of what a relay spends on control
+    remedy: Mechanism | None = None  # what brings the figure below its budget
+    in_total: bool = False  # part of the total that a relay spends on control
 
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """A row's figure for one fleet."""
+    """The figure of a row for one fleet."""
 
     row: Row
     figure: float | None  # None: not measured
     budget: float | None
-    used: dict[SlopeKey, float]
-    lacking: tuple[SlopeKey, ...]
-    not_carried: tuple[SlopeKey, ...]  # used past their largest size without a slope
+    used_sizes: dict[SlopeKey, float]
+    missing_keys: tuple[SlopeKey, ...]
+    unextrapolated_keys: tuple[SlopeKey, ...]  # unfitted, but used beyond their largest size
 
     @property
-    def share_of_budget(self) -> float | None:
+    def budget_fraction(self) -> float | None:
+        """The fraction of the budget that the figure uses; None without a figure or a budget."""
         if self.figure is None or self.budget is None:
             return None
         return self.figure / self.budget
 
     @property
-    def is_over(self) -> bool:
-        return (self.share_of_budget or 0.0) > 1.0
+    def is_over_budget(self) -> bool:
+        return (self.budget_fraction or 0.0) > 1.0
 
 
-def work_out(row: Row, fleet: Fleet, slopes: Slopes) -> Result:
-    """A row's figure and budget for a fleet."""
+def evaluate_row(row: Row, fleet: Fleet, slopes: Slopes) -> Result:
+    """Compute the figure and budget of a row for a fleet."""
     calculation = Calculation(fleet, slopes)
     try:
-        figure = row.figure(calculation)
+        figure = row.compute_figure(calculation)
     except NotMeasured:
         figure = None
-    budget = row.budget.stated(fleet.inputs).value if row.budget else None
-    not_carried = (key for key, size in calculation.used.items() if _is_not_carried(slopes[key], size))
-    return Result(row, figure, budget, calculation.used, tuple(calculation.lacking), tuple(not_carried))
+    budget = row.budget.get_input(fleet.inputs).value if row.budget else None
+    unextrapolated_keys = (
+        key for key, size in calculation.used_sizes.items() if _is_unextrapolated(slopes[key], size)
+    )
+    return Result(
+        row,
+        figure,
+        budget,
+        calculation.used_sizes,
+        tuple(calculation.missing_keys),
+        tuple(unextrapolated_keys),
+    )
 
 
-def _is_not_carried(measured: Measured, size: float) -> bool:
-    return isinstance(measured.slope, LargestMeasured) and size > measured.slope.largest
+def _is_unextrapolated(measured: MeasuredQuantity, size: float) -> bool:
+    return isinstance(measured.slope, UnfittedSlope) and size > measured.slope.largest_size
--- a/millweir/lab/capacity/ranking.py
+++ b/millweir/lab/capacity/ranking.py
@@ -1,7 +1,8 @@
-"""Ranks the rows by the share of the target from which each is over its budget.
+"""Ranks the rows by the fraction of the target size from which each exceeds its budget.
 
-The fleet grows as a whole: destinations, events, backlog and changes with the relays.  A row that is over in
-a fleet of any size, because it rests on the events that each relay holds, is ranked by the share of these.
+All inputs grow with the fleet: destinations, events, backlog and changes with the relays.  A row that exceeds
+its budget at any fleet size because it depends on the events held by each relay is ranked by the fraction of
+the target's backlog instead.
 """
 
 from __future__ import annotations
@@ -12,17 +13,17 @@
 from enum import Enum
 
 from millweir.lab.capacity.assumptions import Inputs
-from millweir.lab.capacity.model import Fleet, Mechanism, Result, Row, Slopes, work_out
+from millweir.lab.capacity.model import Fleet, Mechanism, Result, Row, Slopes, evaluate_row
 
-SMALLEST_RELAYS = 10.0
-SMALLEST_BACKLOG = 1e-7  # of the target's
-LARGEST_TIMES = 100.0  # of the target
+MIN_RELAYS = 10.0
+MIN_BACKLOG_FRACTION = 1e-7  # of the target's backlog
+MAX_TARGET_RATIO = 100.0
 STEPS_PER_DECADE = 10
-BISECTIONS = 40
+BISECTION_STEPS = 40
 
 
 class Growth(Enum):
-    """What grows until a row is over its budget."""
+    """The input that is varied until a row exceeds its budget."""
 
     FLEET = "the fleet as a whole"
     BACKLOG = "the events that each relay holds"
@@ -30,113 +31,113 @@
 
 @dataclass(frozen=True, slots=True)
 class Crossing:
-    """The share of the target from which a row is over its budget."""
+    """The fraction of the target (size or backlog) from which a row exceeds its budget."""
 
     growth: Growth
-    share: float
+    target_fraction: float
 
 
 @dataclass(frozen=True, slots=True)
-class Ranked:
-    """A row with where it goes over its budget."""
+class RankedRow:
+    """A row's result with the crossing of its budget."""
 
     result: Result  # at the target
-    crossing: Crossing | None  # None: not over up to `LARGEST_TIMES` the target
+    crossing: Crossing | None  # None: within its budget up to `MAX_TARGET_RATIO` times the target
 
     @property
     def row(self) -> Row:
         return self.result.row
 
     @property
-    def share(self) -> float | None:
-        return self.crossing.share if self.crossing else None
+    def target_fraction(self) -> float | None:
+        return self.crossing.target_fraction if self.crossing else None
 
 
 @dataclass(frozen=True, slots=True)
-class Need:
-    """A mechanism that takes rows below their budget, with the first of them."""
+class NeededRemedy:
+    """A mechanism that rows over budget need, with the first of these rows and their number."""
 
     remedy: Mechanism
-    first: Ranked
-    rows: int
+    first: RankedRow
+    row_count: int
 
 
-def rank(rows: tuple[Row, ...], inputs: Inputs, slopes: Slopes) -> list[Ranked]:
-    """All rows with a budget and a figure: those that go over it first, then by their share of it."""
-    ranked = []
+def rank_rows(rows: tuple[Row, ...], inputs: Inputs, slopes: Slopes) -> list[RankedRow]:
+    """Sort all rows with a budget and a figure: by crossing, then by the fraction of the budget used."""
+    ranked_rows = []
     for row in rows:
-        result = work_out(row, Fleet(inputs), slopes)
-        if result.share_of_budget is not None:
-            ranked.append(Ranked(result, find_crossing(row, inputs, slopes)))
-    return sorted(ranked, key=_order)
+        result = evaluate_row(row, Fleet(inputs), slopes)
+        if result.budget_fraction is not None:
+            ranked_rows.append(RankedRow(result, find_crossing(row, inputs, slopes)))
+    return sorted(ranked_rows, key=_compute_sort_key)
 
 
-def _order(ranked: Ranked) -> tuple[float, float]:
-    share = math.inf if ranked.share is None else ranked.share
-    return share, -(ranked.result.share_of_budget or 0.0)
+def _compute_sort_key(ranked_row: RankedRow) -> tuple[float, float]:
+    target_fraction = math.inf if ranked_row.target_fraction is None else ranked_row.target_fraction
+    return target_fraction, -(ranked_row.result.budget_fraction or 0.0)
 
 
 def find_crossing(row: Row, inputs: Inputs, slopes: Slopes) -> Crossing | None:
-    """Where a row goes over its budget and stays over it; None: nowhere.
+    """Find where a row exceeds its budget and stays above it; None if nowhere.
 
-    A row that is over in small fleets alone doesn't stand in the way of growth, so it gives None as well.
+    A row that is over its budget only in small fleets does not limit growth, so it also gives None.
     """
 
-    def is_over_by_fleet(share: float) -> bool:
-        return work_out(row, Fleet(inputs, share), slopes).is_over
+    def is_over_at_fleet_size(target_fraction: float) -> bool:
+        return evaluate_row(row, Fleet(inputs, target_fraction), slopes).is_over_budget
 
-    def is_over_by_backlog(share: float) -> bool:
-        return work_out(row, Fleet(inputs, backlog_share=share), slopes).is_over
+    def is_over_at_backlog(backlog_fraction: float) -> bool:
+        return evaluate_row(row, Fleet(inputs, backlog_fraction=backlog_fraction), slopes).is_over_budget
 
-    smallest = smallest_share(inputs)
-    share = _first_over(is_over_by_fleet, smallest)
-    if share is None:
+    min_fraction = compute_min_target_fraction(inputs)
+    target_fraction = _find_first_over(is_over_at_fleet_size, min_fraction)
+    if target_fraction is None:
         return None
-    if share == smallest and not is_over_by_backlog(SMALLEST_BACKLOG):
-        held_share = _first_over(is_over_by_backlog, SMALLEST_BACKLOG)
-        if held_share is not None:
-            return Crossing(Growth.BACKLOG, held_share)
-    return Crossing(Growth.FLEET, share)
+    if target_fraction == min_fraction and not is_over_at_backlog(MIN_BACKLOG_FRACTION):
+        backlog_fraction = _find_first_over(is_over_at_backlog, MIN_BACKLOG_FRACTION)
+        if backlog_fraction is not None:
+            return Crossing(Growth.BACKLOG, backlog_fraction)
+    return Crossing(Growth.FLEET, target_fraction)
 
 
-def smallest_share(inputs: Inputs) -> float:
-    """The share of the target at which the smallest fleet that is looked at stands."""
-    return SMALLEST_RELAYS / inputs.targets.relays.value
+def compute_min_target_fraction(inputs: Inputs) -> float:
+    """Return the fraction of the target that the smallest fleet considered has."""
+    return MIN_RELAYS / inputs.targets.relays.value
 
 
-def _first_over(is_over: Callable[[float], bool], smallest: float) -> float | None:
-    """The share from which it is over up to the largest looked at."""
-    if not is_over(LARGEST_TIMES):
+def _find_first_over(is_over_budget: Callable[[float], bool], min_fraction: float) -> float | None:
+    """Find the fraction from which the budget is exceeded at every step up to `MAX_TARGET_RATIO`."""
+    if not is_over_budget(MAX_TARGET_RATIO):
         return None
-    steps = math.ceil(math.log10(LARGEST_TIMES / smallest) * STEPS_PER_DECADE)
-    above = LARGEST_TIMES
+    steps = math.ceil(math.log10(MAX_TARGET_RATIO / min_fraction) * STEPS_PER_DECADE)
+    above = MAX_TARGET_RATIO
     for step in range(steps - 1, -1, -1):
-        below = smallest * (LARGEST_TIMES / smallest) ** (step / steps)
-        if not is_over(below):
-            return _bisect(is_over, below, above)
+        below = min_fraction * (MAX_TARGET_RATIO / min_fraction) ** (step / steps)
+        if not is_over_budget(below):
+            return _bisect(is_over_budget, below, above)
         above = below
-    return smallest
+    return min_fraction
 
 
-def _bisect(is_over: Callable[[float], bool], below: float, above: float) -> float:
-    """Where it becomes over, between a share that is not and one that is."""
-    for _ in range(BISECTIONS):
+def _bisect(is_over_budget: Callable[[float], bool], below: float, above: float) -> float:
+    """Find the crossing between a fraction within the budget and one over it."""
+    for _ in range(BISECTION_STEPS):
         middle = math.sqrt(below * above)
-        if is_over(middle):
+        if is_over_budget(middle):
             above = middle
         else:
             below = middle
     return above
 
 
-def needs(ranked: list[Ranked]) -> list[Need]:
-    """The mechanisms that rows over budget at the target wait for, in the order of their first row."""
-    first: dict[Mechanism, Ranked] = {}
+def collect_needed_remedies(ranked_rows: list[RankedRow]) -> list[NeededRemedy]:
+    """Collect the remedies of the rows over budget at the target, in the order of their first row."""
+    first: dict[Mechanism, RankedRow] = {}
     counts: dict[Mechanism, int] = {}
-    for one in ranked:
-        remedy = one.row.remedy
-        if remedy is None or one.share is None or one.share > 1.0:
+    for ranked_row in ranked_rows:
+        remedy = ranked_row.row.remedy
+        if remedy is None or ranked_row.target_fraction is None or ranked_row.target_fraction > 1.0:
             continue
-        first.setdefault(remedy, one)
+        first.setdefault(remedy, ranked_row)
         counts[remedy] = counts.get(remedy, 0) + 1
-    return [Need(remedy, one, counts[remedy]) for remedy, one in first.items()]
+    return [NeededRemedy(remedy, ranked_row, counts[remedy]) for remedy, ranked_row in first.items()]
--- a/millweir/lab/capacity/rows.py
+++ b/millweir/lab/capacity/rows.py
@@ -1,4 +1,4 @@
-"""All rows of the capacity model, in the order of the page."""
+"""Collects all rows of the capacity model, in the order of the page."""
 
 from __future__ import annotations
 
--- a/millweir/lab/capacity/rows_configuration.py
+++ b/millweir/lab/capacity/rows_configuration.py
@@ -1,4 +1,4 @@
-"""Rows of what a relay spends on configuration with placement, as measured over links."""
+"""Rows of what a relay spends on configuration with placement, as measured over connections."""
 
 from __future__ import annotations
 
@@ -7,146 +7,164 @@
 from millweir.lab.capacity import keys, mechanisms
 from millweir.lab.capacity.model import (
     Budget,
+    Fault,
     Resource,
     Role,
     Row,
     Stage,
-    Trouble,
-    by_relays,
+    evaluate_at_relay_count,
 )
 
-_control = functools.partial(Row, Role.CONTROL)
+_make_control_row = functools.partial(Row, Role.CONTROL)
 
 
-IN_FORCE_AFTER = tuple(
-    _control(
+IN_FORCE_ROWS = tuple(
+    _make_control_row(
         name,
         Resource.TIME,
         "s",
-        by_relays(keys.configuration(quantity, doing)),
+        evaluate_at_relay_count(keys.make_configuration_key(quantity, workload)),
         mechanisms.CONFIGURATION,
-        stage=Stage.AFTER,
+        stage=Stage.WITH_PLACEMENT,
         budget=mechanisms.IN_FORCE,
     )
-    for name, quantity, doing in (
-        ("a change in force at its last relay", "in-force-max", keys.CHANGES_AT_MEAN),
-        ("fifty changes in a second, in force at the last relay", "in-force-max", keys.FIFTY_IN_A_SECOND),
-        ("the same, known to be in force everywhere", "known-max", keys.FIFTY_IN_A_SECOND),
-        ("a change that concerns every relay, in force at the last", "in-force-max", keys.COMMON_CHANGE),
-        ("fifty of these in a second, in force at the last", "in-force-max", keys.FIFTY_COMMON),
-        ("the same, known to be in force everywhere", "known-max", keys.FIFTY_COMMON),
+    for name, quantity, workload in (
+        ("a change in force at its last relay", "in-force-max", keys.MEAN_CHANGE_RATE),
+        (
+            "fifty changes in a second, in force at the last relay",
+            "in-force-max",
+            keys.FIFTY_CHANGES_IN_ONE_SECOND,
+        ),
+        ("the same, known to be in force everywhere", "known-max", keys.FIFTY_CHANGES_IN_ONE_SECOND),
+        (
+            "a change that concerns every relay, in force at the last",
+            "in-force-max",
+            keys.CHANGE_FOR_ALL_RELAYS,
+        ),
+        (
+            "fifty of these in a second, in force at the last",
+            "in-force-max",
+            keys.FIFTY_CHANGES_FOR_ALL_RELAYS,
+        ),
+        ("the same, known to be in force everywhere", "known-max", keys.FIFTY_CHANGES_FOR_ALL_RELAYS),
     )
 )
 
 
-def _configuration_row(
+def _make_configuration_row(
     name: str,
     resource: Resource,
     unit: str,
     quantity: str,
-    doing: str,
+    workload: str,
     budget: Budget,
     in_total: bool = False,
 ) -> Row:
-    """What one relay spends on configuration, as measured over links."""
-    key = keys.configuration(quantity, doing)
-    return _control(
+    """Return a row of what one relay spends on configuration, as measured over connections."""
+    key = keys.make_configuration_key(quantity, workload)
+    return _make_control_row(
         name,
         resource,
         unit,
-        by_relays(key),
+        evaluate_at_relay_count(key),
         mechanisms.CONFIGURATION,
-        stage=Stage.AFTER,
+        stage=Stage.WITH_PLACEMENT,
         budget=budget,
         in_total=in_total,
     )
 
 
-CONFIGURATION = (
-    _configuration_row(
+RUNNING_CONFIGURATION_ROWS = (
+    _make_configuration_row(
         "configuration over links, changes at their mean",
         Resource.BYTES,
         "B/s",
         "bytes-per-relay-second",
-        keys.CHANGES_AT_MEAN,
+        keys.MEAN_CHANGE_RATE,
         mechanisms.CONTROL_BYTES,
         in_total=True,
     ),
-    _configuration_row(
+    _make_configuration_row(
         "configuration over links, fifty changes in a second, fullest second of any relay",
         Resource.BYTES,
         "B/s",
         "bytes-worst-second",
-        keys.FIFTY_IN_A_SECOND,
+        keys.FIFTY_CHANGES_IN_ONE_SECOND,
         mechanisms.CONTROL_BYTES,
     ),
-    _configuration_row(
+    _make_configuration_row(
         "configuration over links, fifty changes that concern every relay, fullest second of any",
         Resource.BYTES,
         "B/s",
         "bytes-worst-second",
-        keys.FIFTY_COMMON,
+        keys.FIFTY_CHANGES_FOR_ALL_RELAYS,
         mechanisms.CONTROL_BYTES,
     ),
-    _configuration_row(
+    _make_configuration_row(
         "configuration over links, changes at their mean",
         Resource.PROCESSOR,
         "cores",
         "processor-per-relay",
-        keys.CHANGES_AT_MEAN,
+        keys.MEAN_CHANGE_RATE,
         mechanisms.CONTROL_PROCESSOR,
         in_total=True,
     ),
-    _configuration_row(
+    _make_configuration_row(
         "configuration over links, fifty changes that concern every relay",
         Resource.PROCESSOR,
         "cores",
         "processor-per-relay",
-        keys.FIFTY_COMMON,
+        keys.FIFTY_CHANGES_FOR_ALL_RELAYS,
         mechanisms.CONTROL_PROCESSOR,
     ),
-    _configuration_row(
+    _make_configuration_row(
         "partitions held, with link and folder",
         Resource.MEMORY,
         "B",
         "memory-per-relay",
-        keys.START_WITH_FOLDER,
+        keys.START_WITH_STORED_CONFIGURATION,
         mechanisms.CONTROL_MEMORY,
         in_total=True,
     ),
 )
 
 
-CONFIGURATION_STARTS = (
-    _control(
+CONFIGURATION_START_ROWS = (
+    _make_control_row(
         "configuration over links to a relay without a folder",
         Resource.TIME,
         "s",
-        by_relays(keys.configuration("filled-max", keys.START_WITHOUT_FOLDER)),
+        evaluate_at_relay_count(
+            keys.make_configuration_key("filled-max", keys.START_WITHOUT_STORED_CONFIGURATION)
+        ),
         mechanisms.CONFIGURATION,
-        trouble=Trouble.RESTARTS,
-        stage=Stage.AFTER,
+        fault=Fault.RESTARTS,
+        stage=Stage.WITH_PLACEMENT,
         budget=mechanisms.START_TIME,
     ),
-    _control(
+    _make_control_row(
         "configuration over links to a relay without a folder",
         Resource.STATE,
         "B",
-        by_relays(keys.configuration("bytes-to-fill", keys.START_WITHOUT_FOLDER)),
+        evaluate_at_relay_count(
+            keys.make_configuration_key("bytes-to-fill", keys.START_WITHOUT_STORED_CONFIGURATION)
+        ),
         mechanisms.CONFIGURATION,
-        trouble=Trouble.RESTARTS,
-        stage=Stage.AFTER,
+        fault=Fault.RESTARTS,
+        stage=Stage.WITH_PLACEMENT,
     ),
-    _control(
+    _make_control_row(
         "all relays start at once, until all are complete",
         Resource.TIME,
         "s",
-        by_relays(keys.configuration("all-complete", keys.START_WITH_FOLDER)),
+        evaluate_at_relay_count(
+            keys.make_configuration_key("all-complete", keys.START_WITH_STORED_CONFIGURATION)
+        ),
         mechanisms.CONFIGURATION,
-        trouble=Trouble.WAVE,
-        stage=Stage.AFTER,
+        fault=Fault.RESTART_WAVE,
+        stage=Stage.WITH_PLACEMENT,
         budget=mechanisms.START_TIME,
     ),
 )
 
-ROWS = (*CONFIGURATION, *IN_FORCE_AFTER, *CONFIGURATION_STARTS)
+ROWS = (*RUNNING_CONFIGURATION_ROWS, *IN_FORCE_ROWS, *CONFIGURATION_START_ROWS)
--- a/millweir/lab/capacity/rows_data.py
+++ b/millweir/lab/capacity/rows_data.py
@@ -1,4 +1,4 @@
-"""Rows of the relay's data path: events in and out, what is held, starts."""
+"""Rows of the relay's data path: events received and sent, events held, and restarts."""
 
 from __future__ import annotations
 
@@ -7,253 +7,266 @@
 from millweir.lab.capacity import keys, mechanisms
 from millweir.lab.capacity.model import (
     Calculation,
+    Fault,
     Resource,
     Role,
     Row,
     SlopeKey,
     Stage,
-    Trouble,
-    by_relays,
+    evaluate_at_relay_count,
 )
 
-_data = functools.partial(Row, Role.DATA)
+_make_data_row = functools.partial(Row, Role.DATA)
 
 
-def event_memory(calculation: Calculation) -> float:
-    """Bytes of one held event in memory: what the decisions and the journal hold of it, with its body."""
-    held = calculation.fleet.held_relay
-    decided = calculation.measured(keys.HELD_MEMORY, held)
-    return decided + _with_body(calculation, keys.JOURNAL_MEMORY)
+def compute_event_memory(calculation: Calculation) -> float:
+    """Return the bytes of one held event in memory: its decision state and journal record, with the body."""
+    events_held = calculation.fleet.events_held_per_relay
+    decision_memory = calculation.evaluate_slope(keys.HELD_EVENT_MEMORY, events_held)
+    return decision_memory + _compute_record_bytes(calculation, keys.JOURNAL_EVENT_MEMORY)
 
 
-def _with_body(calculation: Calculation, key: SlopeKey) -> float:
-    """Bytes of one event's record, with a body of the assumed size in place of the scale test's."""
-    measured = calculation.measured(key, calculation.fleet.held_relay)
-    return measured - keys.JOURNAL_BODY + calculation.fleet.assumptions.message_bytes.value
+def _compute_record_bytes(calculation: Calculation, key: SlopeKey) -> float:
+    """Return the bytes of one event's record, with a body of the assumed size, not the scale test's."""
+    measured_bytes = calculation.evaluate_slope(key, calculation.fleet.events_held_per_relay)
+    return measured_bytes - keys.JOURNAL_BODY_BYTES + calculation.fleet.assumptions.message_bytes.value
 
 
-def _event_processor(calculation: Calculation, destinations: float) -> float:
-    """Cores that deciding takes: a turn that sends each event, and one after its answer."""
-    sent = calculation.measured(keys.TURN_TIME, destinations)
-    answered = calculation.measured(keys.ANSWER_TIME, destinations)
-    attempts = calculation.fleet.events_relay * calculation.fleet.assumptions.attempts.value
-    return attempts * (sent + answered)
+def _compute_event_processor(calculation: Calculation, destinations: float) -> float:
+    """Return the cores used by decisions: one turn to send each attempt, one after its response."""
+    send_time = calculation.evaluate_slope(keys.SEND_TURN_TIME, destinations)
+    response_time = calculation.evaluate_slope(keys.RESPONSE_TURN_TIME, destinations)
+    attempts_per_second = (
+        calculation.fleet.relay_events_per_second * calculation.fleet.assumptions.attempts.value
+    )
+    return attempts_per_second * (send_time + response_time)
 
 
-def _ready_time(calculation: Calculation) -> float:
-    held = calculation.fleet.held_relay
-    read = calculation.measured(keys.JOURNAL_START_TIME, held)
-    return read + calculation.measured(keys.JOURNAL_HAND_IN_TIME, held)
+def _compute_ready_time(calculation: Calculation) -> float:
+    """Return the seconds from start to ready: the journal is read and its events are restored."""
+    events_held = calculation.fleet.events_held_per_relay
+    read_time = calculation.evaluate_slope(keys.JOURNAL_READ_TIME, events_held)
+    return read_time + calculation.evaluate_slope(keys.JOURNAL_RESTORE_TIME, events_held)
 
 
-DATA_CALM = (
-    _data(
-        "events taken in", Resource.MESSAGES, "messages/s", lambda c: c.fleet.events_relay, mechanisms.INTAKE
+NORMAL_DATA_ROWS = (
+    _make_data_row(
+        "events taken in",
+        Resource.MESSAGES,
+        "messages/s",
+        lambda c: c.fleet.relay_events_per_second,
+        mechanisms.INTAKE,
     ),
-    _data(
+    _make_data_row(
         "attempts sent",
         Resource.MESSAGES,
         "messages/s",
-        lambda c: c.fleet.events_relay * c.fleet.assumptions.attempts.value,
+        lambda c: c.fleet.relay_events_per_second * c.fleet.assumptions.attempts.value,
         mechanisms.ATTEMPTS,
     ),
-    _data(
+    _make_data_row(
         "bytes in and out",
         Resource.BYTES,
         "B/s",
         lambda c: (
-            c.fleet.events_relay
+            c.fleet.relay_events_per_second
             * c.fleet.assumptions.message_bytes.value
             * (1 + c.fleet.assumptions.attempts.value)
         ),
         mechanisms.INTAKE,
         budget=mechanisms.RELAY_NETWORK,
     ),
-    _data(
+    _make_data_row(
         "events of the busiest destination at one relay that may call it",
         Resource.MESSAGES,
         "messages/s",
-        lambda c: (c.fleet.events_second * c.fleet.assumptions.busiest_share.value / c.fleet.replicas),
+        lambda c: (c.fleet.events_per_second * c.fleet.assumptions.busiest_share.value / c.fleet.replicas),
         mechanisms.FORWARDING,
-        stage=Stage.AFTER,
+        stage=Stage.WITH_PLACEMENT,
     ),
-    _data(
+    _make_data_row(
         "deciding: a turn that sends each event, and one after its answer",
         Resource.PROCESSOR,
         "cores",
-        lambda c: _event_processor(c, c.fleet.destinations),
+        lambda c: _compute_event_processor(c, c.fleet.destinations),
         mechanisms.DECISIONS,
-        stage=Stage.BEFORE,
+        stage=Stage.BEFORE_PLACEMENT,
         budget=mechanisms.RELAY_CORES,
         remedy=mechanisms.PLACEMENT,
     ),
-    _data(
+    _make_data_row(
         "deciding: a turn that sends each event, and one after its answer",
         Resource.PROCESSOR,
         "cores",
-        lambda c: _event_processor(c, c.fleet.own_destinations),
+        lambda c: _compute_event_processor(c, c.fleet.max_destinations_per_relay),
         mechanisms.DECISIONS,
-        stage=Stage.AFTER,
+        stage=Stage.WITH_PLACEMENT,
         budget=mechanisms.RELAY_CORES,
     ),
-    _data(
+    _make_data_row(
         "whether an event's destination is its own",
         Resource.PROCESSOR,
         "cores",
-        lambda c: c.fleet.events_relay * c.measured(keys.LOOKUP_TIME, c.fleet.relays),
+        lambda c: c.fleet.relay_events_per_second * c.evaluate_slope(keys.LOOKUP_TIME, c.fleet.relays),
         mechanisms.PLACEMENT,
-        stage=Stage.AFTER,
+        stage=Stage.WITH_PLACEMENT,
         budget=mechanisms.RELAY_CORES,
     ),
-    _data(
+    _make_data_row(
         "a tick that finds nothing due",
         Resource.TIME,
         "s",
-        lambda c: c.measured(keys.IDLE_TICK_TIME, c.fleet.destinations),
+        lambda c: c.evaluate_slope(keys.IDLE_TICK_TIME, c.fleet.destinations),
         mechanisms.DECISIONS,
-        stage=Stage.BEFORE,
-        budget=mechanisms.PAUSE_LONGEST,
+        stage=Stage.BEFORE_PLACEMENT,
+        budget=mechanisms.MAX_PAUSE,
         remedy=mechanisms.PLACEMENT,
     ),
-    _data(
+    _make_data_row(
         "a call lost on a link that was idle",
         Resource.TIME,
         "s",
-        lambda c: c.measured(keys.LOST_CALL_TIME, c.fleet.destinations),
+        lambda c: c.evaluate_slope(keys.LOST_CALL_TIME, c.fleet.destinations),
         mechanisms.DECISIONS,
-        stage=Stage.BEFORE,
-        budget=mechanisms.PAUSE_LONGEST,
+        stage=Stage.BEFORE_PLACEMENT,
+        budget=mechanisms.MAX_PAUSE,
         remedy=mechanisms.PLACEMENT,
     ),
-    _data("events held", Resource.STATE, "events", lambda c: c.fleet.held_relay, mechanisms.DECISIONS),
-    _data(
+    _make_data_row(
+        "events held", Resource.STATE, "events", lambda c: c.fleet.events_held_per_relay, mechanisms.DECISIONS
+    ),
+    _make_data_row(
         "memory of the events held",
         Resource.MEMORY,
         "B",
-        lambda c: c.fleet.held_relay * event_memory(c),
+        lambda c: c.fleet.events_held_per_relay * compute_event_memory(c),
         mechanisms.DECISIONS,
         budget=mechanisms.RELAY_MEMORY,
         remedy=mechanisms.JOURNAL_SEGMENTS,
     ),
-    _data(
+    _make_data_row(
         "journal of the events held",
         Resource.DISK,
         "B",
-        lambda c: c.fleet.held_relay * _with_body(c, keys.JOURNAL_BYTES),
+        lambda c: c.fleet.events_held_per_relay * _compute_record_bytes(c, keys.JOURNAL_EVENT_BYTES),
         mechanisms.JOURNAL,
         budget=mechanisms.RELAY_DISK,
         remedy=mechanisms.JOURNAL_SEGMENTS,
     ),
-    _data(
+    _make_data_row(
         "a tick that finds nothing due, with the events held",
         Resource.TIME,
         "s",
-        lambda c: c.measured(keys.HELD_IDLE_TICK_TIME, c.fleet.held_relay),
+        lambda c: c.evaluate_slope(keys.HELD_IDLE_TICK_TIME, c.fleet.events_held_per_relay),
         mechanisms.DECISIONS,
-        budget=mechanisms.PAUSE_LONGEST,
+        budget=mechanisms.MAX_PAUSE,
     ),
-    _data(
+    _make_data_row(
         "a turn after each answer, all slots out and every destination waiting for one",
         Resource.PROCESSOR,
         "cores",
-        lambda c: c.fleet.events_relay * c.measured(keys.SATURATED_TURN_TIME, c.fleet.held_relay),
+        lambda c: c.fleet.relay_events_per_second
+        * c.evaluate_slope(keys.SATURATED_TURN_TIME, c.fleet.events_held_per_relay),
         mechanisms.DECISIONS,
         budget=mechanisms.RELAY_CORES,
-        remedy=mechanisms.DECISIONS_FLAT,
+        remedy=mechanisms.INCREMENTAL_DECISIONS,
     ),
-    _data(
+    _make_data_row(
         "a turn for each event, as many held as are allowed",
         Resource.PROCESSOR,
         "cores",
-        lambda c: c.fleet.events_relay * c.measured(keys.FULL_TURN_TIME, c.fleet.held_relay),
+        lambda c: c.fleet.relay_events_per_second
+        * c.evaluate_slope(keys.HELD_LIMIT_TURN_TIME, c.fleet.events_held_per_relay),
         mechanisms.DECISIONS,
         budget=mechanisms.RELAY_CORES,
-        remedy=mechanisms.DECISIONS_FLAT,
+        remedy=mechanisms.INCREMENTAL_DECISIONS,
     ),
-    _data(
+    _make_data_row(
         "most that compacting the journal takes beyond what is held, with bodies of 200 B",
         Resource.MEMORY,
         "B",
-        lambda c: c.measured(keys.JOURNAL_PEAK, c.fleet.held_relay),
+        lambda c: c.evaluate_slope(keys.JOURNAL_COMPACTION_PEAK_MEMORY, c.fleet.events_held_per_relay),
         mechanisms.JOURNAL,
         budget=mechanisms.RELAY_MEMORY,
         remedy=mechanisms.JOURNAL_SEGMENTS,
     ),
-    _data(
+    _make_data_row(
         "longest pause while the journal is compacted",
         Resource.TIME,
         "s",
-        lambda c: c.measured(keys.JOURNAL_PAUSE, c.fleet.held_relay),
+        lambda c: c.evaluate_slope(keys.JOURNAL_COMPACTION_TIME, c.fleet.events_held_per_relay),
         mechanisms.JOURNAL,
-        budget=mechanisms.PAUSE_LONGEST,
+        budget=mechanisms.MAX_PAUSE,
         remedy=mechanisms.JOURNAL_SEGMENTS,
     ),
-    _data(
+    _make_data_row(
         "time between one relay's calls to a small partner",
         Resource.TIME,
         "s",
         lambda c: c.fleet.relays / c.fleet.assumptions.small_limit.value,
         mechanisms.DECISIONS,
-        stage=Stage.BEFORE,
+        stage=Stage.BEFORE_PLACEMENT,
         budget=mechanisms.CALLS_TO_LEARN,
         remedy=mechanisms.PLACEMENT,
     ),
-    _data(
+    _make_data_row(
         "time between one relay's calls to a small partner",
         Resource.TIME,
         "s",
         lambda c: c.fleet.replicas / c.fleet.assumptions.small_limit.value,
         mechanisms.PLACEMENT,
-        stage=Stage.AFTER,
+        stage=Stage.WITH_PLACEMENT,
         budget=mechanisms.CALLS_TO_LEARN,
     ),
-    _data(
+    _make_data_row(
         "destinations that are down, each found out by every relay",
         Resource.STATE,
         "findings",
         lambda c: c.fleet.destinations * c.fleet.targets.destinations_down.value * c.fleet.relays,
-        mechanisms.SHARED_FACTS,
-        stage=Stage.BEFORE,
+        mechanisms.SHARED_OBSERVATIONS,
+        stage=Stage.BEFORE_PLACEMENT,
     ),
-    _data(
+    _make_data_row(
         "destinations that are down, each found out by its replicas",
         Resource.STATE,
         "findings",
         lambda c: c.fleet.destinations * c.fleet.targets.destinations_down.value * c.fleet.replicas,
         mechanisms.PLACEMENT,
-        stage=Stage.AFTER,
+        stage=Stage.WITH_PLACEMENT,
     ),
 )
 
 
-SENDERS_LEARN = tuple(
+SENDER_LEARNING_ROWS = tuple(
     row
-    for is_placed, stage, remedy in (
-        (False, Stage.BEFORE, mechanisms.PLACEMENT),
-        (True, Stage.AFTER, mechanisms.SHARED_FACTS),
+    for has_placement, stage, remedy in (
+        (False, Stage.BEFORE_PLACEMENT, mechanisms.PLACEMENT),
+        (True, Stage.WITH_PLACEMENT, mechanisms.SHARED_OBSERVATIONS),
     )
     for row in (
-        _data(
+        _make_data_row(
             "calls that a small partner refuses, its limit being half of what is listed",
             Resource.MESSAGES,
             "of the calls",
-            by_relays(keys.senders_learn("calls-refused", is_placed, "limit")),
+            evaluate_at_relay_count(keys.make_sender_learning_key("calls-refused", has_placement, "limit")),
             mechanisms.DECISIONS,
             stage=stage,
         ),
-        _data(
+        _make_data_row(
             "senders that did not notice a small partner's return while the test went on",
             Resource.STATE,
             "of the senders",
-            by_relays(keys.senders_learn("never-noticed", is_placed, "outage")),
+            evaluate_at_relay_count(keys.make_sender_learning_key("never-noticed", has_placement, "outage")),
             mechanisms.DECISIONS,
             stage=stage,
         ),
-        _data(
+        _make_data_row(
             "return of a small partner noticed after, mean of the senders that noticed",
             Resource.TIME,
             "s",
-            by_relays(keys.senders_learn("return-noticed-after", is_placed, "outage")),
+            evaluate_at_relay_count(
+                keys.make_sender_learning_key("return-noticed-after", has_placement, "outage")
+            ),
             mechanisms.DECISIONS,
             stage=stage,
             budget=mechanisms.CALLS_TO_LEARN,
@@ -263,69 +276,69 @@
 )
 
 
-DATA_IN_TROUBLE = (
-    _data(
+FAULT_DATA_ROWS = (
+    _make_data_row(
         "first list to a relay that holds its events already",
         Resource.TIME,
         "s",
-        lambda c: c.measured(keys.HELD_FIRST_LIST_TIME, c.fleet.held_relay),
+        lambda c: c.evaluate_slope(keys.HELD_INITIAL_LIST_TIME, c.fleet.events_held_per_relay),
         mechanisms.DECISIONS,
-        trouble=Trouble.RESTARTS,
+        fault=Fault.RESTARTS,
         budget=mechanisms.START_TIME,
-        remedy=mechanisms.DECISIONS_FLAT,
+        remedy=mechanisms.INCREMENTAL_DECISIONS,
     ),
-    _data(
+    _make_data_row(
         "events out of reach until the relay is back",
         Resource.STATE,
         "events",
-        lambda c: c.fleet.held_relay,
-        mechanisms.TAKE_OVER,
-        trouble=Trouble.MACHINE,
+        lambda c: c.fleet.events_held_per_relay,
+        mechanisms.TAKEOVER,
+        fault=Fault.MACHINE_LOST,
     ),
-    _data(
+    _make_data_row(
         "start to ready: journal read, events handed in",
         Resource.TIME,
         "s",
-        _ready_time,
+        _compute_ready_time,
         mechanisms.JOURNAL,
-        trouble=Trouble.RESTARTS,
+        fault=Fault.RESTARTS,
         budget=mechanisms.START_TIME,
         remedy=mechanisms.JOURNAL_SEGMENTS,
     ),
-    _data(
+    _make_data_row(
         "relays that are starting at once",
         Resource.STATE,
         "relays",
-        lambda c: c.fleet.restarts_day / c.fleet.assumptions.restart_wave.value * _ready_time(c),
+        lambda c: c.fleet.restarts_per_day / c.fleet.assumptions.restart_wave.value * _compute_ready_time(c),
         mechanisms.ROLLOUT,
-        trouble=Trouble.WAVE,
+        fault=Fault.RESTART_WAVE,
     ),
-    _data(
+    _make_data_row(
         "more events at each relay that is left",
         Resource.MESSAGES,
         "of a relay",
-        lambda c: c.fleet.rack / max(1.0, c.fleet.relays - c.fleet.rack),
+        lambda c: c.fleet.relays_per_rack / max(1.0, c.fleet.relays - c.fleet.relays_per_rack),
         mechanisms.INTAKE,
-        trouble=Trouble.RACK,
+        fault=Fault.RACK_LOST,
     ),
-    _data(
+    _make_data_row(
         "more events at each relay that is left",
         Resource.MESSAGES,
         "of a relay",
         lambda c: 1 / (c.fleet.targets.zones.value - 1),
         mechanisms.INTAKE,
-        trouble=Trouble.ZONE,
+        fault=Fault.ZONE_LOST,
         budget=mechanisms.SPARE_SHARE,
     ),
-    _data(
+    _make_data_row(
         "events held for the cut at each relay cut off, if all replicas are on the other side",
         Resource.STATE,
         "events",
-        lambda c: c.fleet.events_relay * c.fleet.assumptions.region_cut.value,
+        lambda c: c.fleet.relay_events_per_second * c.fleet.assumptions.region_cut.value,
         mechanisms.FORWARDING,
-        trouble=Trouble.REGION,
-        stage=Stage.AFTER,
+        fault=Fault.REGION_CUT,
+        stage=Stage.WITH_PLACEMENT,
     ),
 )
 
-ROWS = (*DATA_CALM, *SENDERS_LEARN, *DATA_IN_TROUBLE)
+ROWS = (*NORMAL_DATA_ROWS, *SENDER_LEARNING_ROWS, *FAULT_DATA_ROWS)
--- a/millweir/lab/capacity/rows_machines.py
+++ b/millweir/lab/capacity/rows_machines.py
@@ -1,4 +1,4 @@
-"""Rows of the machines set aside for control: voters of the register, distributors, and how many are used."""
+"""Rows of the control machines: voters of the replicated store, distributors, and the number needed."""
 
 from __future__ import annotations
 
@@ -8,204 +8,210 @@
 from millweir.lab.capacity import keys, mechanisms
 from millweir.lab.capacity.model import (
     Calculation,
-    FigureOf,
+    Fault,
+    FigureFunction,
     Mechanism,
     Resource,
     Role,
     Row,
     Stage,
-    Trouble,
-    by_relays,
+    evaluate_at_relay_count,
 )
 
-_voter = functools.partial(Row, Role.VOTER)
-_distributor = functools.partial(Row, Role.DISTRIBUTOR)
-_machines = functools.partial(Row, Role.MACHINES)
+_make_voter_row = functools.partial(Row, Role.VOTER)
+_make_distributor_row = functools.partial(Row, Role.DISTRIBUTOR)
+_make_machines_row = functools.partial(Row, Role.MACHINES)
 
-DISTRIBUTORS_LEAST = 2.0
-DESIGNS = {
-    "logged": ("each renewal an entry", Stage.ALTERNATIVE, mechanisms.CONSENSUS),
-    "leased": ("leases at the leader", Stage.BOTH, mechanisms.LEASES),
+MIN_DISTRIBUTORS = 2.0
+RENEWAL_DESIGNS = {
+    "logged": ("each renewal an entry", Stage.REJECTED_ALTERNATIVE, mechanisms.CONSENSUS),
+    "leased": ("leases at the leader", Stage.ANY, mechanisms.LEASES),
 }
 
 
-def _renewal_rows(design: str, label: str, stage: Stage, mechanism: Mechanism) -> tuple[Row, ...]:
-    """What one of the register's two designs of renewal costs its voters when calm."""
+def _make_renewal_rows(design: str, label: str, stage: Stage, mechanism: Mechanism) -> tuple[Row, ...]:
+    """Return what the voters spend without faults, for one of the two lease renewal designs."""
 
-    def measured(quantity: str) -> FigureOf:
-        return by_relays(keys.renewals(design, quantity))
+    def evaluate_quantity(quantity: str) -> FigureFunction:
+        return evaluate_at_relay_count(keys.make_renewal_key(design, quantity))
 
-    row = functools.partial(_voter, mechanism=mechanism, stage=stage)
+    row = functools.partial(_make_voter_row, mechanism=mechanism, stage=stage)
     return (
         row(
             name=f"leader, {label}",
             resource=Resource.MESSAGES,
             unit="messages/s",
-            figure=measured("leader-messages-second"),
+            compute_figure=evaluate_quantity("leader-messages-second"),
         ),
         row(
             name=f"leader, {label}",
             resource=Resource.BYTES,
             unit="B/s",
-            figure=measured("leader-bytes-second"),
+            compute_figure=evaluate_quantity("leader-bytes-second"),
             budget=mechanisms.MACHINE_NETWORK,
         ),
         row(
             name=f"leader, {label}",
             resource=Resource.PROCESSOR,
             unit="cores",
-            figure=measured("leader-processor"),
+            compute_figure=evaluate_quantity("leader-processor"),
             budget=mechanisms.MACHINE_CORES,
         ),
         row(
             name=f"follower, {label}",
             resource=Resource.PROCESSOR,
             unit="cores",
-            figure=measured("follower-processor"),
+            compute_figure=evaluate_quantity("follower-processor"),
             budget=mechanisms.MACHINE_CORES,
         ),
         row(
             name=f"follower, {label}",
             resource=Resource.BYTES,
             unit="B/s",
-            figure=measured("follower-bytes-second"),
+            compute_figure=evaluate_quantity("follower-bytes-second"),
             budget=mechanisms.MACHINE_NETWORK,
         ),
         row(
             name=f"log and snapshots written, {label}",
             resource=Resource.DISK,
             unit="B/s",
-            figure=measured("written-bytes-second"),
+            compute_figure=evaluate_quantity("written-bytes-second"),
             budget=mechanisms.MACHINE_DISK,
         ),
     )
 
 
-VOTERS_CALM = (
-    *(row for design, described in DESIGNS.items() for row in _renewal_rows(design, *described)),
-    _voter(
+NORMAL_VOTER_ROWS = (
+    *(
+        row
+        for design, design_arguments in RENEWAL_DESIGNS.items()
+        for row in _make_renewal_rows(design, *design_arguments)
+    ),
+    _make_voter_row(
         "table of ownership",
         Resource.MEMORY,
         "B",
-        by_relays(keys.STATE_MEMORY),
-        mechanisms.TAKE_OVER,
+        evaluate_at_relay_count(keys.OWNERSHIP_MEMORY),
+        mechanisms.TAKEOVER,
         budget=mechanisms.MACHINE_MEMORY,
     ),
-    _voter(
+    _make_voter_row(
         "snapshot",
         Resource.STATE,
         "B",
-        by_relays(keys.SNAPSHOT_BYTES),
+        evaluate_at_relay_count(keys.OWNERSHIP_SNAPSHOT_BYTES),
         mechanisms.CONSENSUS,
     ),
-    _voter(
+    _make_voter_row(
         "a whole assignment, as an entry",
         Resource.STATE,
         "B",
-        by_relays(keys.ASSIGNMENT_BYTES),
+        evaluate_at_relay_count(keys.ASSIGNMENT_BYTES),
         mechanisms.PLACEMENT,
-        stage=Stage.AFTER,
+        stage=Stage.WITH_PLACEMENT,
     ),
-    _voter(
+    _make_voter_row(
         "table of the assignment, where it is made",
         Resource.MEMORY,
         "B",
-        by_relays(keys.CORE_MEMORY),
+        evaluate_at_relay_count(keys.PLACEMENT_CORE_MEMORY),
         mechanisms.PLACEMENT,
-        stage=Stage.AFTER,
+        stage=Stage.WITH_PLACEMENT,
         budget=mechanisms.MACHINE_MEMORY,
     ),
 )
 
 
-def _placement_rows(trouble: Trouble) -> tuple[Row, ...]:
-    """Relays lost: what the assignment's core does about it."""
+def _make_placement_rows(fault: Fault) -> tuple[Row, ...]:
+    """Return what the placement core does after relays are lost."""
 
-    def measured(quantity: str) -> FigureOf:
-        return by_relays(keys.placement_trouble(quantity, trouble))
+    def evaluate_quantity(quantity: str) -> FigureFunction:
+        return evaluate_at_relay_count(keys.make_placement_key(quantity, fault))
 
-    row = functools.partial(_voter, mechanism=mechanisms.PLACEMENT, trouble=trouble, stage=Stage.AFTER)
+    row = functools.partial(
+        _make_voter_row, mechanism=mechanisms.PLACEMENT, fault=fault, stage=Stage.WITH_PLACEMENT
+    )
     return (
         row(
             name="replicas that move",
             resource=Resource.STATE,
             unit="replicas",
-            figure=measured("replicas-moved"),
+            compute_figure=evaluate_quantity("replicas-moved"),
         ),
         row(
             name="processor time to move replicas",
             resource=Resource.TIME,
             unit="s",
-            figure=measured("member-change-seconds"),
+            compute_figure=evaluate_quantity("member-change-seconds"),
         ),
         row(
             name="until all replicas have moved, with hold and pace",
             resource=Resource.TIME,
             unit="s",
-            figure=measured("change-ends-after"),
+            compute_figure=evaluate_quantity("change-ends-after"),
         ),
         row(
             name="largest entry of a moving assignment",
             resource=Resource.STATE,
             unit="B",
-            figure=measured("difference-bytes-most"),
+            compute_figure=evaluate_quantity("difference-bytes-most"),
         ),
     )
 
 
-def _change_rows(trouble: Trouble) -> tuple[Row, ...]:
-    """Owners lost at once: what the register writes and sends for it."""
+def _make_owner_change_rows(fault: Fault) -> tuple[Row, ...]:
+    """Return what the replicated store writes and sends when owners are lost at once."""
 
-    def measured(quantity: str) -> FigureOf:
-        return by_relays(keys.register_trouble(quantity, trouble))
+    def evaluate_quantity(quantity: str) -> FigureFunction:
+        return evaluate_at_relay_count(keys.make_register_key(quantity, fault))
 
-    row = functools.partial(_voter, mechanism=mechanisms.TAKE_OVER, trouble=trouble)
-    name = "owners that change" + (", if it stays away" if trouble is Trouble.REGION else "")
+    row = functools.partial(_make_voter_row, mechanism=mechanisms.TAKEOVER, fault=fault)
+    name = "owners that change" + (", if it stays away" if fault is Fault.REGION_CUT else "")
     return (
-        row(name=name, resource=Resource.STATE, unit="owners", figure=measured("changes")),
+        row(name=name, resource=Resource.STATE, unit="owners", compute_figure=evaluate_quantity("changes")),
         row(
             name="bytes out of the leader",
             resource=Resource.STATE,
             unit="B",
-            figure=measured("change-bytes"),
+            compute_figure=evaluate_quantity("change-bytes"),
         ),
         row(
             name="processor time of the leader",
             resource=Resource.TIME,
             unit="s",
-            figure=measured("change-processor"),
+            compute_figure=evaluate_quantity("change-processor"),
         ),
         row(
             name="until the changes are committed",
             resource=Resource.TIME,
             unit="s",
-            figure=measured("change-commit-time"),
+            compute_figure=evaluate_quantity("change-commit-time"),
             budget=mechanisms.IN_FORCE,
         ),
     )
 
 
-VOTERS_IN_TROUBLE = (
-    *(row for trouble in keys.REGISTER_TROUBLES for row in _change_rows(trouble)),
-    *(row for trouble in keys.PLACEMENT_TROUBLES for row in _placement_rows(trouble)),
-    _voter(
+FAULT_VOTER_ROWS = (
+    *(row for fault in keys.REGISTER_FAULTS for row in _make_owner_change_rows(fault)),
+    *(row for fault in keys.PLACEMENT_FAULTS for row in _make_placement_rows(fault)),
+    _make_voter_row(
         "replicas that move, two minutes and back",
         Resource.STATE,
         "replicas",
-        by_relays(keys.MOVED_BY_A_CUT),
+        evaluate_at_relay_count(keys.REPLICAS_MOVED_BY_REGION_CUT),
         mechanisms.PLACEMENT,
-        trouble=Trouble.REGION,
-        stage=Stage.AFTER,
+        fault=Fault.REGION_CUT,
+        stage=Stage.WITH_PLACEMENT,
     ),
-    _voter(
+    _make_voter_row(
         "leases given again by a new leader, if the lost machine led",
         Resource.TIME,
         "s",
         lambda c: c.fleet.assumptions.lease.value,
         mechanisms.LEASES,
-        trouble=Trouble.MACHINE,
+        fault=Fault.MACHINE_LOST,
     ),
-    _voter(
+    _make_voter_row(
         "voters left, if the region with the most is cut off",
         Resource.STATE,
         "voters",
@@ -214,47 +220,49 @@
             - math.ceil(c.fleet.assumptions.voters.value / c.fleet.targets.regions.value)
         ),
         mechanisms.CONSENSUS,
-        trouble=Trouble.REGION,
+        fault=Fault.REGION_CUT,
     ),
 )
 
 
-def _part_bytes(calculation: Calculation, stage: Stage) -> float:
-    """Bytes of all that one relay is told at a start."""
+def _compute_start_bytes(calculation: Calculation, stage: Stage) -> float:
+    """Return the bytes of all entries that one relay receives at its start."""
     fleet = calculation.fleet
-    known = fleet.destinations if stage is Stage.BEFORE else fleet.own_destinations
-    return known * fleet.assumptions.entry_bytes.value
+    destinations = fleet.destinations if stage is Stage.BEFORE_PLACEMENT else fleet.max_destinations_per_relay
+    return destinations * fleet.assumptions.entry_bytes.value
 
 
-def _told(calculation: Calculation, stage: Stage) -> float:
-    """Relays that are told of one change."""
+def _count_notified_relays(calculation: Calculation, stage: Stage) -> float:
+    """Return the number of relays that one change is sent to."""
     fleet = calculation.fleet
-    return fleet.relays if stage is Stage.BEFORE else fleet.replicas
+    return fleet.relays if stage is Stage.BEFORE_PLACEMENT else fleet.replicas
 
 
-def _mean_refill(calculation: Calculation, stage: Stage, relays: float) -> float:
-    """Bytes a second out of one distributor while so many relays come back."""
+def _compute_refill_bandwidth(calculation: Calculation, stage: Stage, relays: float) -> float:
+    """Return the bytes per second sent by one distributor while that many relays return."""
     fleet = calculation.fleet
-    whole = relays * _part_bytes(calculation, stage)
-    return whole / fleet.assumptions.refill_time.value / fleet.distributors
+    refill_bytes = relays * _compute_start_bytes(calculation, stage)
+    return refill_bytes / fleet.assumptions.refill_time.value / fleet.distributors
 
 
-def _wave(calculation: Calculation, stage: Stage) -> float:
+def _compute_wave_bandwidth(calculation: Calculation, stage: Stage) -> float:
+    """Return the bytes per second sent by one distributor during a wave of restarts."""
     fleet = calculation.fleet
-    starts_second = fleet.restarts_day / fleet.assumptions.restart_wave.value
-    return starts_second * _part_bytes(calculation, stage) / fleet.distributors
+    starts_per_second = fleet.restarts_per_day / fleet.assumptions.restart_wave.value
+    return starts_per_second * _compute_start_bytes(calculation, stage) / fleet.distributors
 
 
-def _busiest_second(calculation: Calculation, stage: Stage) -> float:
-    """Messages a second out of one distributor."""
+def _compute_busiest_message_rate(calculation: Calculation, stage: Stage) -> float:
+    """Return the messages per second sent by one distributor in the second with the most changes."""
     fleet = calculation.fleet
-    return fleet.changes_busiest_second * _told(calculation, stage) / fleet.distributors
+    return fleet.changes_in_busiest_second * _count_notified_relays(calculation, stage) / fleet.distributors
 
 
-def _distributor_rows(stage: Stage) -> tuple[Row, ...]:
-    mechanism = mechanisms.WHOLE_LIST if stage is Stage.BEFORE else mechanisms.CONFIGURATION
-    remedy = mechanisms.PLACEMENT if stage is Stage.BEFORE else None
-    row = functools.partial(_distributor, mechanism=mechanism, stage=stage)
+def _make_distributor_rows(stage: Stage) -> tuple[Row, ...]:
+    """Return what one distributor sends for changes and for relays that start."""
+    mechanism = mechanisms.FULL_LIST if stage is Stage.BEFORE_PLACEMENT else mechanisms.CONFIGURATION
+    remedy = mechanisms.PLACEMENT if stage is Stage.BEFORE_PLACEMENT else None
+    row = functools.partial(_make_distributor_row, mechanism=mechanism, stage=stage)
     network = functools.partial(
         row, resource=Resource.BYTES, unit="B/s", budget=mechanisms.MACHINE_NETWORK, remedy=remedy
     )
@@ -263,43 +271,45 @@
             name="changes told, busiest second",
             resource=Resource.MESSAGES,
             unit="messages/s",
-            figure=lambda c: _busiest_second(c, stage),
+            compute_figure=lambda c: _compute_busiest_message_rate(c, stage),
         ),
         network(
             name="changes told, busiest second",
-            figure=lambda c: _busiest_second(c, stage) * c.fleet.assumptions.entry_bytes.value,
+            compute_figure=lambda c: _compute_busiest_message_rate(c, stage)
+            * c.fleet.assumptions.entry_bytes.value,
         ),
         row(
             name="acknowledgements, busiest second",
             resource=Resource.BYTES,
             unit="B/s",
-            figure=lambda c: _busiest_second(c, stage) * c.fleet.assumptions.digest_bytes.value,
+            compute_figure=lambda c: _compute_busiest_message_rate(c, stage)
+            * c.fleet.assumptions.digest_bytes.value,
         ),
         network(
             name="relays that start told whole",
-            figure=lambda c: _wave(c, stage),
-            trouble=Trouble.WAVE,
+            compute_figure=lambda c: _compute_wave_bandwidth(c, stage),
+            fault=Fault.RESTART_WAVE,
         ),
         network(
             name="relays of a rack told whole",
-            figure=lambda c: _mean_refill(c, stage, c.fleet.rack),
-            trouble=Trouble.RACK,
+            compute_figure=lambda c: _compute_refill_bandwidth(c, stage, c.fleet.relays_per_rack),
+            fault=Fault.RACK_LOST,
         ),
         network(
             name="relays of a zone told whole",
-            figure=lambda c: _mean_refill(c, stage, c.fleet.zone),
-            trouble=Trouble.ZONE,
+            compute_figure=lambda c: _compute_refill_bandwidth(c, stage, c.fleet.relays_per_zone),
+            fault=Fault.ZONE_LOST,
         ),
         network(
             name="relays of a region told whole",
-            figure=lambda c: _mean_refill(c, stage, c.fleet.region),
-            trouble=Trouble.REGION,
+            compute_figure=lambda c: _compute_refill_bandwidth(c, stage, c.fleet.relays_per_region),
+            fault=Fault.REGION_CUT,
         ),
     )
 
 
-DISTRIBUTORS = (
-    _distributor(
+DISTRIBUTOR_ROWS = (
+    _make_distributor_row(
         "all destinations' entries",
         Resource.MEMORY,
         "B",
@@ -307,82 +317,88 @@
         mechanisms.CONFIGURATION,
         budget=mechanisms.MACHINE_MEMORY,
     ),
-    _distributor(
+    _make_distributor_row(
         "relays connected to one distributor",
         Resource.STATE,
         "relays",
         lambda c: c.fleet.relays / c.fleet.distributors,
         mechanisms.CONFIGURATION,
-        stage=Stage.AFTER,
+        stage=Stage.WITH_PLACEMENT,
     ),
-    _distributor(
+    _make_distributor_row(
         "relays connected to one distributor",
         Resource.STATE,
         "relays",
         lambda c: c.fleet.relays / max(1.0, c.fleet.distributors - 1),
         mechanisms.CONFIGURATION,
-        trouble=Trouble.MACHINE,
-        stage=Stage.AFTER,
+        fault=Fault.MACHINE_LOST,
+        stage=Stage.WITH_PLACEMENT,
     ),
     *(
-        _distributor(
+        _make_distributor_row(
             name,
             Resource.PROCESSOR,
             "cores",
-            by_relays(keys.configuration("processor-per-distributor", doing)),
+            evaluate_at_relay_count(keys.make_configuration_key("processor-per-distributor", workload)),
             mechanisms.CONFIGURATION,
-            stage=Stage.AFTER,
+            stage=Stage.WITH_PLACEMENT,
             budget=mechanisms.MACHINE_CORES,
         )
-        for name, doing in (
-            ("distributor over links, changes at their mean", keys.CHANGES_AT_MEAN),
-            ("distributor over links, fifty changes that concern every relay", keys.FIFTY_COMMON),
+        for name, workload in (
+            ("distributor over links, changes at their mean", keys.MEAN_CHANGE_RATE),
+            (
+                "distributor over links, fifty changes that concern every relay",
+                keys.FIFTY_CHANGES_FOR_ALL_RELAYS,
+            ),
         )
     ),
-    _distributor(
+    _make_distributor_row(
         "distributor as measured, entries shared with those beside it",
         Resource.MEMORY,
         "B",
-        by_relays(keys.configuration("memory-per-distributor", keys.START_WITH_FOLDER)),
+        evaluate_at_relay_count(
+            keys.make_configuration_key("memory-per-distributor", keys.START_WITH_STORED_CONFIGURATION)
+        ),
         mechanisms.CONFIGURATION,
-        stage=Stage.AFTER,
+        stage=Stage.WITH_PLACEMENT,
         budget=mechanisms.MACHINE_MEMORY,
     ),
-    *_distributor_rows(Stage.BEFORE),
-    *_distributor_rows(Stage.AFTER),
+    *_make_distributor_rows(Stage.BEFORE_PLACEMENT),
+    *_make_distributor_rows(Stage.WITH_PLACEMENT),
 )
 
 
-def _machines_needed(calculation: Calculation, stage: Stage, relays: float) -> float:
-    """Voters, and as many distributors as tell so many relays all that they need in the time for it."""
+def _compute_machines_needed(calculation: Calculation, stage: Stage, relays: float) -> float:
+    """Return the voters plus the distributors needed to refill that many relays within the refill time."""
     fleet = calculation.fleet
-    bytes_second = relays * _part_bytes(calculation, stage) / fleet.assumptions.refill_time.value
-    by_network = math.ceil(bytes_second / fleet.assumptions.machine_network.value)
-    return fleet.assumptions.voters.value + max(DISTRIBUTORS_LEAST, by_network)
+    bytes_per_second = relays * _compute_start_bytes(calculation, stage) / fleet.assumptions.refill_time.value
+    distributors_for_network = math.ceil(bytes_per_second / fleet.assumptions.machine_network.value)
+    return fleet.assumptions.voters.value + max(MIN_DISTRIBUTORS, distributors_for_network)
 
 
-def _machine_row(stage: Stage, trouble: Trouble, relays: FigureOf) -> Row:
-    return _machines(
+def _make_needed_machines_row(stage: Stage, fault: Fault, relays: FigureFunction) -> Row:
+    """Return the row of the control machines needed after the loss of that many relays."""
+    return _make_machines_row(
         "voters and distributors that are needed",
         Resource.MACHINES,
         "machines",
-        lambda c: _machines_needed(c, stage, relays(c)),
-        mechanisms.WHOLE_LIST if stage is Stage.BEFORE else mechanisms.CONFIGURATION,
-        trouble=trouble,
+        lambda c: _compute_machines_needed(c, stage, relays(c)),
+        mechanisms.FULL_LIST if stage is Stage.BEFORE_PLACEMENT else mechanisms.CONFIGURATION,
+        fault=fault,
         stage=stage,
         budget=mechanisms.CONTROL_MACHINES,
-        remedy=mechanisms.PLACEMENT if stage is Stage.BEFORE else None,
+        remedy=mechanisms.PLACEMENT if stage is Stage.BEFORE_PLACEMENT else None,
     )
 
 
-MACHINES = tuple(
-    _machine_row(stage, trouble, relays)
-    for stage in (Stage.BEFORE, Stage.AFTER)
-    for trouble, relays in (
-        (Trouble.RACK, lambda c: c.fleet.rack),
-        (Trouble.ZONE, lambda c: c.fleet.zone),
-        (Trouble.REGION, lambda c: c.fleet.region),
+MACHINE_COUNT_ROWS = tuple(
+    _make_needed_machines_row(stage, fault, relays)
+    for stage in (Stage.BEFORE_PLACEMENT, Stage.WITH_PLACEMENT)
+    for fault, relays in (
+        (Fault.RACK_LOST, lambda c: c.fleet.relays_per_rack),
+        (Fault.ZONE_LOST, lambda c: c.fleet.relays_per_zone),
+        (Fault.REGION_CUT, lambda c: c.fleet.relays_per_region),
     )
 )
 
-ROWS = (*VOTERS_CALM, *VOTERS_IN_TROUBLE, *DISTRIBUTORS, *MACHINES)
+ROWS = (*NORMAL_VOTER_ROWS, *FAULT_VOTER_ROWS, *DISTRIBUTOR_ROWS, *MACHINE_COUNT_ROWS)
--- a/millweir/lab/capacity/rows_membership.py
+++ b/millweir/lab/capacity/rows_membership.py
@@ -1,4 +1,4 @@
-"""Rows of what a relay spends on membership, calm and in trouble."""
+"""Rows of what a relay spends on membership, without faults and under faults."""
 
 from __future__ import annotations
 
@@ -7,28 +7,28 @@
 from millweir.lab.capacity import keys, mechanisms
 from millweir.lab.capacity.model import (
     Calculation,
+    Fault,
     Resource,
     Role,
     Row,
     SlopeKey,
-    Trouble,
-    by_relays,
+    evaluate_at_relay_count,
 )
 
-MICROSECOND = 1e-6
+SECONDS_PER_MICROSECOND = 1e-6
 
-_control = functools.partial(Row, Role.CONTROL)
+_make_control_row = functools.partial(Row, Role.CONTROL)
 
 
-def _membership_rows(trouble: Trouble, name: str) -> tuple[Row, ...]:
-    """Bytes, processor time and agreement of one trouble, by its name in the measurements.
+def _make_membership_rows(fault: Fault, measured_fault: str) -> tuple[Row, ...]:
+    """Return the bytes, processor time and time to agreement for a fault, by its name in the measurements.
 
-    The byte budget of `members/gossip.py` bounds each second: past the sizes that were measured the mean is
-    held to the 99th percentile of seconds, which the budget keeps level.
+    The byte budget of `members/gossip.py` bounds each second.  Beyond the measured sizes the mean is
+    therefore limited to the 99th percentile of seconds, which the budget keeps constant.
     """
-    when = f" ({name})" if trouble is Trouble.REGION else ""
-    bytes_mean, bytes_p99, processor, agreed, false_deaths = (
-        SlopeKey("membership", quantity, name)
+    fault_suffix = f" ({measured_fault})" if fault is Fault.REGION_CUT else ""
+    bytes_mean, bytes_p99, processor_time, agreement_time, false_deaths = (
+        SlopeKey("membership", quantity, measured_fault)
         for quantity in (
             "bytes-per-member-second",
             "bytes-per-member-second-p99",
@@ -38,121 +38,125 @@
         )
     )
     rows = (
-        _control(
-            f"gossip sent, mean{when}",
+        _make_control_row(
+            f"gossip sent, mean{fault_suffix}",
             Resource.BYTES,
             "B/s",
-            lambda c: min(by_relays(bytes_mean)(c), by_relays(bytes_p99)(c)),
+            lambda c: min(evaluate_at_relay_count(bytes_mean)(c), evaluate_at_relay_count(bytes_p99)(c)),
             mechanisms.MEMBERSHIP,
-            trouble=trouble,
+            fault=fault,
             budget=mechanisms.CONTROL_BYTES,
             remedy=mechanisms.MEMBERSHIP_BUDGET,
-            in_total=trouble is Trouble.CALM,
+            in_total=fault is Fault.NONE,
         ),
-        _control(
-            f"gossip sent, 99th percentile of seconds{when}",
+        _make_control_row(
+            f"gossip sent, 99th percentile of seconds{fault_suffix}",
             Resource.BYTES,
             "B/s",
-            by_relays(bytes_p99),
+            evaluate_at_relay_count(bytes_p99),
             mechanisms.MEMBERSHIP,
-            trouble=trouble,
+            fault=fault,
             budget=mechanisms.CONTROL_BYTES,
             remedy=mechanisms.MEMBERSHIP_BUDGET,
         ),
-        _control(
-            f"gossip{when}",
+        _make_control_row(
+            f"gossip{fault_suffix}",
             Resource.PROCESSOR,
             "cores",
-            lambda c: c.measured(processor, c.fleet.relays) * MICROSECOND,
+            lambda c: c.evaluate_slope(processor_time, c.fleet.relays) * SECONDS_PER_MICROSECOND,
             mechanisms.MEMBERSHIP,
-            trouble=trouble,
+            fault=fault,
             budget=mechanisms.CONTROL_PROCESSOR,
             remedy=mechanisms.MEMBERSHIP_BUDGET,
-            in_total=trouble is Trouble.CALM,
+            in_total=fault is Fault.NONE,
         ),
     )
-    if trouble is Trouble.CALM:
+    if fault is Fault.NONE:
         return rows
     return (
         *rows,
-        _control(
-            f"until all living members agree{when}",
+        _make_control_row(
+            f"until all living members agree{fault_suffix}",
             Resource.TIME,
             "s",
-            by_relays(agreed),
+            evaluate_at_relay_count(agreement_time),
             mechanisms.MEMBERSHIP,
-            trouble=trouble,
+            fault=fault,
         ),
-        _control(
-            f"relays told gone that are not, by all together{when}",
+        _make_control_row(
+            f"relays told gone that are not, by all together{fault_suffix}",
             Resource.STATE,
             "tellings",
-            by_relays(false_deaths),
+            evaluate_at_relay_count(false_deaths),
             mechanisms.MEMBERSHIP,
-            trouble=trouble,
+            fault=fault,
         ),
     )
 
 
-def _wave_cost(calculation: Calculation, quantity: str) -> float:
-    """Membership's cost in a wave of restarts: the calm one, and each restart's more at the wave's pace."""
+def _compute_restart_wave_cost(calculation: Calculation, quantity: str) -> float:
+    """Return the cost without faults plus the extra cost of a restart at the restart rate of a wave."""
     fleet = calculation.fleet
-    calm = calculation.measured(SlopeKey("membership", quantity), fleet.relays)
-    restart = calculation.measured(SlopeKey("membership", quantity, "restart"), fleet.relays)
-    starts_second = fleet.restarts_day / fleet.assumptions.restart_wave.value
-    return calm + max(0.0, restart - calm) * starts_second * fleet.assumptions.restart_interval.value
+    normal_cost = calculation.evaluate_slope(SlopeKey("membership", quantity), fleet.relays)
+    restart_cost = calculation.evaluate_slope(SlopeKey("membership", quantity, "restart"), fleet.relays)
+    starts_per_second = fleet.restarts_per_day / fleet.assumptions.restart_wave.value
+    return (
+        normal_cost
+        + max(0.0, restart_cost - normal_cost) * starts_per_second * fleet.assumptions.restart_interval.value
+    )
 
 
-MEMBERSHIP = (
-    _control(
+MEMBERSHIP_ROWS = (
+    _make_control_row(
         "table of members",
         Resource.MEMORY,
         "B",
-        by_relays(keys.TABLE_MEMORY),
+        evaluate_at_relay_count(keys.MEMBER_TABLE_MEMORY),
         mechanisms.MEMBERSHIP,
         budget=mechanisms.CONTROL_MEMORY,
         in_total=True,
     ),
-    _control(
+    _make_control_row(
         "a full state told at a start, within the budget of bytes",
         Resource.TIME,
         "s",
-        lambda c: c.measured(keys.FULL_STATE_BYTES, c.fleet.relays) / c.fleet.targets.control_bytes.value,
+        lambda c: c.evaluate_slope(keys.FULL_STATE_BYTES, c.fleet.relays)
+        / c.fleet.targets.control_bytes.value,
         mechanisms.MEMBERSHIP,
-        trouble=Trouble.RESTARTS,
+        fault=Fault.RESTARTS,
         budget=mechanisms.START_TIME,
         remedy=mechanisms.MEMBERSHIP_RANGES,
     ),
     *(
         row
-        for trouble, names in keys.MEMBERSHIP_TROUBLES.items()
-        for name in names
-        for row in _membership_rows(trouble, name)
+        for fault, measured_faults in keys.MEMBERSHIP_FAULTS.items()
+        for measured_fault in measured_faults
+        for row in _make_membership_rows(fault, measured_fault)
     ),
 )
 
 
-WAVE = (
-    _control(
+RESTART_WAVE_ROWS = (
+    _make_control_row(
         "gossip sent, mean, scaled from one restart",
         Resource.BYTES,
         "B/s",
-        lambda c: _wave_cost(c, "bytes-per-member-second"),
+        lambda c: _compute_restart_wave_cost(c, "bytes-per-member-second"),
         mechanisms.MEMBERSHIP,
-        trouble=Trouble.WAVE,
+        fault=Fault.RESTART_WAVE,
         budget=mechanisms.CONTROL_BYTES,
         remedy=mechanisms.ROLLOUT,
     ),
-    _control(
+    _make_control_row(
         "gossip, scaled from one restart",
         Resource.PROCESSOR,
         "cores",
-        lambda c: _wave_cost(c, "processor-per-member-second") * MICROSECOND,
+        lambda c: _compute_restart_wave_cost(c, "processor-per-member-second") * SECONDS_PER_MICROSECOND,
         mechanisms.MEMBERSHIP,
-        trouble=Trouble.WAVE,
+        fault=Fault.RESTART_WAVE,
         budget=mechanisms.CONTROL_PROCESSOR,
         remedy=mechanisms.ROLLOUT,
     ),
 )
 
-ROWS = (*MEMBERSHIP, *WAVE)
+ROWS = (*MEMBERSHIP_ROWS, *RESTART_WAVE_ROWS)
--- a/millweir/lab/capacity/rows_taker.py
+++ b/millweir/lab/capacity/rows_taker.py
@@ -1,4 +1,4 @@
-"""Rows of the relays that take on what a lost one held: copies before, take-over after."""
+"""Rows of the relays that take over the events of a lost relay: copies before the loss, takeover after."""
 
 from __future__ import annotations
 
@@ -7,126 +7,134 @@
 from millweir.lab.capacity import keys, mechanisms
 from millweir.lab.capacity.model import (
     Calculation,
+    Fault,
     Resource,
     Role,
     Row,
     SlopeKey,
-    Trouble,
 )
-from millweir.lab.capacity.rows_data import event_memory
+from millweir.lab.capacity.rows_data import compute_event_memory
 
-COPY_PROCESSOR = SlopeKey("copies", "processor-per-copy")  # no scale test yet: comes with issue 32
+COPY_PROCESSOR = SlopeKey("copies", "processor-per-copy")  # no scale test yet; planned with issue 32
 
-_taker = functools.partial(Row, Role.TAKER)
+_make_takeover_row = functools.partial(Row, Role.TAKEOVER)
 
 
-TAKER = (
-    _taker(
+NORMAL_TAKEOVER_ROWS = (
+    _make_takeover_row(
         "memory of the events held and of copies, if a copy takes as much",
         Resource.MEMORY,
         "B",
-        lambda c: c.fleet.held_relay * (1 + c.fleet.assumptions.copies.value) * event_memory(c),
-        mechanisms.TAKE_OVER,
+        lambda c: c.fleet.events_held_per_relay
+        * (1 + c.fleet.assumptions.copies.value)
+        * compute_event_memory(c),
+        mechanisms.TAKEOVER,
     ),
-    _taker(
+    _make_takeover_row(
         "copies sent and taken",
         Resource.MESSAGES,
         "messages/s",
-        lambda c: 2 * c.fleet.events_relay * c.fleet.assumptions.copies.value,
-        mechanisms.TAKE_OVER,
+        lambda c: 2 * c.fleet.relay_events_per_second * c.fleet.assumptions.copies.value,
+        mechanisms.TAKEOVER,
     ),
-    _taker(
+    _make_takeover_row(
         "copies sent and taken",
         Resource.PROCESSOR,
         "cores",
-        lambda c: 2 * c.fleet.events_relay * c.measured(COPY_PROCESSOR, c.fleet.events_relay),
-        mechanisms.TAKE_OVER,
+        lambda c: 2
+        * c.fleet.relay_events_per_second
+        * c.evaluate_slope(COPY_PROCESSOR, c.fleet.relay_events_per_second),
+        mechanisms.TAKEOVER,
     ),
-    _taker(
+    _make_takeover_row(
         "bytes of copies, sent and taken",
         Resource.BYTES,
         "B/s",
         lambda c: (
             2
-            * c.fleet.events_relay
+            * c.fleet.relay_events_per_second
             * c.fleet.assumptions.copies.value
             * c.fleet.assumptions.message_bytes.value
         ),
-        mechanisms.TAKE_OVER,
+        mechanisms.TAKEOVER,
         budget=mechanisms.RELAY_NETWORK,
     ),
-    _taker(
+    _make_takeover_row(
         "take-overs a day, of an ordinary one",
         Resource.STATE,
         "take-overs",
-        lambda c: c.fleet.machines_lost_day,
-        mechanisms.TAKE_OVER,
-        trouble=Trouble.MACHINE,
+        lambda c: c.fleet.machines_lost_per_day,
+        mechanisms.TAKEOVER,
+        fault=Fault.MACHINE_LOST,
     ),
-    _taker(
+    _make_takeover_row(
         "owners' leases run out and go to others",
         Resource.TIME,
         "s",
         lambda c: (
             c.fleet.assumptions.lease.value
-            + c.measured(keys.register_trouble("change-commit-time", Trouble.MACHINE), c.fleet.relays)
+            + c.evaluate_slope(
+                keys.make_register_key("change-commit-time", Fault.MACHINE_LOST), c.fleet.relays
+            )
         ),
-        mechanisms.TAKE_OVER,
-        trouble=Trouble.MACHINE,
+        mechanisms.TAKEOVER,
+        fault=Fault.MACHINE_LOST,
     ),
 )
 
 
-def _taken_on(calculation: Calculation, lost: float) -> float:
-    """Events that each relay left takes on, if the lost relays' are spread over all."""
+def _compute_events_taken_over(calculation: Calculation, lost_relays: float) -> float:
+    """Return the events that each remaining relay takes over, those of the lost relays spread over all."""
     fleet = calculation.fleet
-    return fleet.held_relay * lost / max(1.0, fleet.relays - lost)
+    return fleet.events_held_per_relay * lost_relays / max(1.0, fleet.relays - lost_relays)
 
 
-def _taken_time(calculation: Calculation, lost: float) -> float:
-    """Seconds until these are sent, beside the relay's own."""
-    spare = calculation.fleet.events_relay * calculation.fleet.assumptions.spare_share.value
-    return _taken_on(calculation, lost) / spare
+def _compute_takeover_time(calculation: Calculation, lost_relays: float) -> float:
+    """Return the seconds to send the events taken over, in addition to the relay's own."""
+    idle_rate = calculation.fleet.relay_events_per_second * calculation.fleet.assumptions.spare_share.value
+    return _compute_events_taken_over(calculation, lost_relays) / idle_rate
 
 
-LOST = {
-    Trouble.MACHINE: lambda c: min(1.0, c.fleet.relays / 2),
-    Trouble.RACK: lambda c: min(c.fleet.rack, c.fleet.relays / 2),
-    Trouble.ZONE: lambda c: c.fleet.zone,
+RELAYS_LOST_BY_FAULT = {
+    Fault.MACHINE_LOST: lambda c: min(1.0, c.fleet.relays / 2),
+    Fault.RACK_LOST: lambda c: min(c.fleet.relays_per_rack, c.fleet.relays / 2),
+    Fault.ZONE_LOST: lambda c: c.fleet.relays_per_zone,
 }
 
 
-TAKER_IN_TROUBLE = tuple(
+FAULT_TAKEOVER_ROWS = tuple(
     row
-    for trouble, lost in LOST.items()
+    for fault, count_lost_relays in RELAYS_LOST_BY_FAULT.items()
     for row in (
-        _taker(
+        _make_takeover_row(
             "events taken on by each relay that is left",
             Resource.STATE,
             "events",
-            lambda c, lost=lost: _taken_on(c, lost(c)),
-            mechanisms.TAKE_OVER,
-            trouble=trouble,
+            lambda c, count_lost_relays=count_lost_relays: _compute_events_taken_over(
+                c, count_lost_relays(c)
+            ),
+            mechanisms.TAKEOVER,
+            fault=fault,
         ),
-        _taker(
+        _make_takeover_row(
             "time until these are sent",
             Resource.TIME,
             "s",
-            lambda c, lost=lost: _taken_time(c, lost(c)),
-            mechanisms.TAKE_OVER,
-            trouble=trouble,
-            budget=mechanisms.TAKEOVER_TIME if trouble is Trouble.MACHINE else None,
+            lambda c, count_lost_relays=count_lost_relays: _compute_takeover_time(c, count_lost_relays(c)),
+            mechanisms.TAKEOVER,
+            fault=fault,
+            budget=mechanisms.TAKEOVER_TIME if fault is Fault.MACHINE_LOST else None,
         ),
     )
 ) + (
-    _taker(
+    _make_takeover_row(
         "events taken on: none, a region that comes back has kept its own",
         Resource.STATE,
         "events",
         lambda c: 0.0,
-        mechanisms.TAKE_OVER,
-        trouble=Trouble.REGION,
+        mechanisms.TAKEOVER,
+        fault=Fault.REGION_CUT,
     ),
 )
 
-ROWS = (*TAKER, *TAKER_IN_TROUBLE)
+ROWS = (*NORMAL_TAKEOVER_ROWS, *FAULT_TAKEOVER_ROWS)
--- a/millweir/lab/capacity/units.py
+++ b/millweir/lab/capacity/units.py
@@ -1,18 +1,18 @@
-"""Figures as text: three significant digits and a unit that a reader can compare."""
+"""Formats figures as text, with three significant digits and a scaled unit."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-DIGITS = 3
-UNITS_SCALED = ("B", "B/s", "s", "cores")
+SIGNIFICANT_DIGITS = 3
+SCALED_UNITS = ("B", "B/s", "s", "cores")
 
 
 @dataclass(frozen=True, slots=True)
 class Scale:
-    """A unit that is used from a value on."""
+    """A unit used for values from `min_value` up."""
 
-    least: float
+    min_value: float
     divisor: float
     name: str
 
@@ -40,44 +40,44 @@
 )
 
 
-def rounded(value: float, digits: int = DIGITS) -> str:
-    """Without an exponent: 1,234 -> "1,230", 0.01234 -> "0.0123"."""
+def format_number(value: float, digits: int = SIGNIFICANT_DIGITS) -> str:
+    """Round to significant digits without an exponent: 1,234 -> "1,230", 0.01234 -> "0.0123"."""
     if value == 0:
         return "0"
     number = float(f"{value:.{digits}g}")
     if abs(number) >= 100:
         return f"{number:,.0f}"
-    decimals = max(0, digits - 1 - _exponent(number))
+    decimals = max(0, digits - 1 - _find_exponent(number))
     text = f"{number:.{decimals}f}"
     return text.rstrip("0").rstrip(".") if "." in text else text
 
 
-def _exponent(number: float) -> int:
+def _find_exponent(number: float) -> int:
     return int(f"{number:e}".partition("e")[2])
 
 
-def _scaled(value: float, scales: tuple[Scale, ...]) -> str:
-    scale = next((scale for scale in scales if abs(value) >= scale.least), scales[-1])
-    return f"{rounded(value / scale.divisor)} {scale.name}".rstrip()
+def _format_scaled(value: float, scales: tuple[Scale, ...]) -> str:
+    scale = next((scale for scale in scales if abs(value) >= scale.min_value), scales[-1])
+    return f"{format_number(value / scale.divisor)} {scale.name}".rstrip()
 
 
-def stated_with_unit(value: float, unit: str) -> str:
-    """A figure that is given, not worked out: whole numbers below a billion stand as they are."""
-    if unit in UNITS_SCALED or unit.startswith("of ") or abs(value) >= 1e9 or value != int(value):
-        return with_unit(value, unit)
+def format_input(value: float, unit: str) -> str:
+    """Format an input of the model: whole numbers below a billion are not rounded."""
+    if unit in SCALED_UNITS or unit.startswith("of ") or abs(value) >= 1e9 or value != int(value):
+        return format_figure(value, unit)
     return f"{int(value):,} {unit}"
 
 
-def with_unit(value: float, unit: str) -> str:
-    """A figure with its unit: bytes, seconds, cores and counts are scaled."""
+def format_figure(value: float, unit: str) -> str:
+    """Format a computed figure with its unit: bytes, seconds, cores and counts are scaled."""
     if unit == "B":
-        return _scaled(value, BYTE_SCALES)
+        return _format_scaled(value, BYTE_SCALES)
     if unit == "B/s":
-        return f"{_scaled(value, BYTE_SCALES)}/s"
+        return f"{_format_scaled(value, BYTE_SCALES)}/s"
     if unit == "s":
-        return _scaled(value, TIME_SCALES) if value else "0 s"
+        return _format_scaled(value, TIME_SCALES) if value else "0 s"
     if unit == "cores":
-        return f"{rounded(100 * value)}% of a core"
+        return f"{format_number(100 * value)}% of a core"
     if unit.startswith("of "):
-        return f"{rounded(100 * value)}% {unit}"
-    return f"{_scaled(value, COUNT_SCALES)} {unit}"
+        return f"{format_number(100 * value)}% {unit}"
+    return f"{_format_scaled(value, COUNT_SCALES)} {unit}"
