--- a/millweir/lab/scale/__init__.py
+++ b/millweir/lab/scale/__init__.py
@@ -1,5 +1,5 @@
-"""Scale tests: how each part of a relay grows, measured one size at a time.
+"""Scale tests: how the cost of each part of a relay grows, measured at one size per run.
 
-`parts.py` names the parts, `measurement.py` is the record that each of them yields, `guard.py` keeps a run
-inside its share of the machine.  `millweir lab capacity` fits the records.
+`parts.py` lists the parts, `measurement.py` defines the record that each of them yields, `guard.py` enforces
+the limits on memory and processes.  `millweir lab capacity` fits growth curves to the records.
 """
--- a/millweir/lab/scale/configuration_links.py
+++ b/millweir/lab/scale/configuration_links.py
@@ -1,4 +1,4 @@
-"""Frames over TCP on loopback, and what the scale test's register tells its processes."""
+"""Frame connections over loopback TCP and the messages between the scale test's store and its processes."""
 
 from __future__ import annotations
 
@@ -14,43 +14,43 @@
 
 
 class Join(msgspec.Struct, array_like=True, tag=1):
-    """Distributor to register: who speaks on this connection."""
+    """Distributor to store: identifies the sender on this connection."""
 
     distributor: str
 
 
-class RegisterChange(msgspec.Struct, array_like=True, tag=2):
-    """Register to distributor."""
+class StoreChange(msgspec.Struct, array_like=True, tag=2):
+    """Store to distributor: a committed change."""
 
     change: Change
 
 
-class RegisterAt(msgspec.Struct, array_like=True, tag=3):
-    """Register to distributor: a heartbeat."""
+class StoreHeartbeat(msgspec.Struct, array_like=True, tag=3):
+    """Store to distributor: a heartbeat."""
 
     version: int
 
 
 class ReportFrame(msgspec.Struct, array_like=True, tag=4):
-    """Distributor to the coordinator beside the register."""
+    """Distributor to the coordinator, which runs in the store's process."""
 
     frame: bytes
 
 
 class FullReport(msgspec.Struct, array_like=True, tag=5):
-    """Coordinator to distributor."""
+    """Coordinator to distributor: requests a full report."""
 
 
-class AskWord(msgspec.Struct, array_like=True, tag=6):
-    """Relay to register."""
+class DigestRequest(msgspec.Struct, array_like=True, tag=6):
+    """Relay to store: requests the digest of a partition."""
 
     relay: str
     partition: int
     version: int
 
 
-class Word(msgspec.Struct, array_like=True, tag=7):
-    """Register to relay."""
+class DigestResponse(msgspec.Struct, array_like=True, tag=7):
+    """Store to relay: the digest of a partition, if known."""
 
     relay: str
     partition: int
@@ -58,22 +58,22 @@
     digest: int | None
 
 
-RegisterMessage = Join | RegisterChange | RegisterAt | ReportFrame | FullReport | AskWord | Word
-encode_register = msgspec.msgpack.Encoder().encode
-decode_register = msgspec.msgpack.Decoder(RegisterMessage).decode
+StoreMessage = Join | StoreChange | StoreHeartbeat | ReportFrame | FullReport | DigestRequest | DigestResponse
+encode_store_message = msgspec.msgpack.Encoder().encode
+decode_store_message = msgspec.msgpack.Decoder(StoreMessage).decode
 
 
-class FrameLink(asyncio.Protocol):
-    """One connection of length-prefixed frames; counts its bytes."""
+class FrameConnection(asyncio.Protocol):
+    """One connection with length-prefixed frames; counts its bytes."""
 
     def __init__(
-        self, received: Callable[[FrameLink, bytes], None], lost: Callable[[FrameLink], None]
+        self, on_frame: Callable[[FrameConnection, bytes], None], on_close: Callable[[FrameConnection], None]
     ) -> None:
         self.bytes_in = 0
         self.bytes_out = 0
         self.transport: asyncio.Transport | None = None
-        self._received = received
-        self._lost = lost
+        self._on_frame = on_frame
+        self._on_close = on_close
         self._buffer = bytearray()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -91,12 +91,12 @@
             end = start + LENGTH_BYTES + length
             if end > len(self._buffer):
                 break
-            self._received(self, bytes(self._buffer[start + LENGTH_BYTES : end]))
+            self._on_frame(self, bytes(self._buffer[start + LENGTH_BYTES : end]))
             start = end
         del self._buffer[:start]
 
-    def connection_lost(self, fault: Exception | None) -> None:
-        self._lost(self)
+    def connection_lost(self, error: Exception | None) -> None:
+        self._on_close(self)
 
     def send(self, frame: bytes) -> None:
         if self.transport is None or self.transport.is_closing():
@@ -110,15 +110,15 @@
 
 
 class Timer:
-    """Calls back at the earliest time asked for; a later one is seen when it fires."""
+    """Calls back at the earliest time that was set; a later time is ignored until the timer fires."""
 
-    def __init__(self, call: Callable[[], None]) -> None:
-        self._call = call
+    def __init__(self, callback: Callable[[], None]) -> None:
+        self._callback = callback
         self._handle: asyncio.TimerHandle | None = None
         self._at = 0.0
 
     def set(self, at: int) -> None:
-        """At a time of `time.monotonic_ns`."""
+        """Sets the timer to a time of `time.monotonic_ns`."""
         seconds = at / 1e9
         if self._handle is not None and self._at <= seconds:
             return
@@ -134,4 +134,4 @@
 
     def _fire(self) -> None:
         self._handle = None
-        self._call()
+        self._callback()
--- a/millweir/lab/scale/configuration_processes.py
+++ b/millweir/lab/scale/configuration_processes.py
@@ -1,4 +1,4 @@
-"""The scale test's child processes: distributors and hollow relays; real cores, real TCP."""
+"""Child processes of the configuration scale test: distributors and hollow relays, with real cores."""
 
 from __future__ import annotations
 
@@ -18,39 +18,39 @@
 from millweir.lab.scale.configuration_fleet import FleetPlan
 from millweir.lab.scale.configuration_links import (
     LOOPBACK,
-    AskWord,
-    FrameLink,
+    DigestRequest,
+    DigestResponse,
+    FrameConnection,
     FullReport,
     Join,
-    RegisterAt,
-    RegisterChange,
     ReportFrame,
+    StoreChange,
+    StoreHeartbeat,
     Timer,
-    Word,
-    decode_register,
-    encode_register,
+    decode_store_message,
+    encode_store_message,
 )
-from millweir.lab.scale.guard import resident_memory
+from millweir.lab.scale.guard import get_resident_memory
 
 
-def processor_time() -> float:
-    """Seconds that this process has used."""
+def get_processor_time() -> float:
+    """Returns the processor seconds used by this process."""
     used = resource.getrusage(resource.RUSAGE_SELF)
     return used.ru_utime + used.ru_stime
 
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """What a process has used until now."""
+    """Processor seconds and resident memory of a process."""
 
     processor: float
     memory: int
-    memory_before: int  # before its cores were made
+    memory_before: int  # before its cores were created
 
 
 @dataclass(slots=True)
 class RelaySample:
-    """What one hollow relay has seen since the last sample."""
+    """Measurements of one hollow relay since the last sample."""
 
     bytes_in: int = 0
     bytes_out: int = 0
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """A hollow process's answer to `sample`."""
+    """A hollow process's response to a command."""
 
     usage: Usage
     relays: dict[str, RelaySample]
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Command:
-    """Parent to child over the pipe."""
+    """A command from the parent to a child over the pipe."""
 
     name: str  # start, sample, restart, lose, stop
     relays: tuple[str, ...] = ()
@@ -78,92 +78,97 @@
 
 
 class DistributorServer:
-    """One distributor's core on its listening socket."""
+    """One distributor's core with its listening socket."""
 
     def __init__(self, name: str, plan: FleetPlan) -> None:
         self.core = Distributor(name, 1, DistributorRules(), time.monotonic_ns())
         self.plan = plan
-        self.links: dict[int, FrameLink] = {}
-        self.numbers: dict[FrameLink, int] = {}
-        self.next_number = 0
-        self.register: FrameLink | None = None
+        self.connections: dict[int, FrameConnection] = {}
+        self.connection_ids: dict[FrameConnection, int] = {}
+        self.last_connection_id = 0
+        self.store_connection: FrameConnection | None = None
         self.timer: Timer | None = None
-        self.due = False
+        self.turn_scheduled = False
         self.server: asyncio.Server | None = None
 
-    async def start(self, register_port: int) -> int:
+    async def start(self, store_port: int) -> int:
         loop = asyncio.get_running_loop()
-        self.timer = Timer(self.soon)
+        self.timer = Timer(self.schedule_turn)
         self.server = await loop.create_server(
-            lambda: FrameLink(self.relay_frame, self.relay_lost), LOOPBACK, 0, backlog=4_096
+            lambda: FrameConnection(self.receive_relay_frame, self.handle_relay_disconnect),
+            LOOPBACK,
+            0,
+            backlog=4_096,
         )
-        _, self.register = await loop.create_connection(
-            lambda: FrameLink(self.register_frame, lambda link: None), LOOPBACK, register_port
+        _, self.store_connection = await loop.create_connection(
+            lambda: FrameConnection(self.receive_store_frame, lambda connection: None),
+            LOOPBACK,
+            store_port,
         )
-        self.register.send(encode_register(Join(self.core.name)))
-        self.soon()
+        self.store_connection.send(encode_store_message(Join(self.core.name)))
+        self.schedule_turn()
         return self.server.sockets[0].getsockname()[1]
 
-    def lose(self) -> None:
-        """As if its process had ended: nothing listens, all connections are down, nothing is reported."""
+    def crash(self) -> None:
+        """Simulates a crash: closes the listener and all connections, and sends no more reports."""
         self.server.close()
         self.timer.cancel()
-        self.due = True
-        for link in self.links.values():
-            link.close()
-        self.register.close()
+        self.turn_scheduled = True
+        for connection in self.connections.values():
+            connection.close()
+        self.store_connection.close()
 
-    def relay_frame(self, link: FrameLink, frame: bytes) -> None:
-        number = self.numbers.get(link)
+    def receive_relay_frame(self, connection: FrameConnection, frame: bytes) -> None:
+        number = self.connection_ids.get(connection)
         if number is None:
-            self.next_number += 1
-            number = self.numbers[link] = self.next_number
-            self.links[number] = link
+            self.last_connection_id += 1
+            number = self.connection_ids[connection] = self.last_connection_id
+            self.connections[number] = connection
         self.core.receive_frame(time.monotonic_ns(), number, frame)
-        self.soon()
+        self.schedule_turn()
 
-    def relay_lost(self, link: FrameLink) -> None:
-        number = self.numbers.pop(link, None)
+    def handle_relay_disconnect(self, connection: FrameConnection) -> None:
+        number = self.connection_ids.pop(connection, None)
         if number is not None and self.server.is_serving():
-            del self.links[number]
+            del self.connections[number]
             self.core.handle_disconnect(time.monotonic_ns(), number)
-            self.soon()
+            self.schedule_turn()
 
-    def register_frame(self, link: FrameLink, frame: bytes) -> None:
-        message = decode_register(frame)
+    def receive_store_frame(self, connection: FrameConnection, frame: bytes) -> None:
+        message = decode_store_message(frame)
         now = time.monotonic_ns()
-        if isinstance(message, RegisterChange):
+        if isinstance(message, StoreChange):
             self.core.receive_change(now, message.change)
-        elif isinstance(message, RegisterAt):
+        elif isinstance(message, StoreHeartbeat):
             self.core.receive_store_heartbeat(now, message.version)
         elif isinstance(message, FullReport):
             self.core.request_full_report()
-        self.soon()
+        self.schedule_turn()
 
-    def soon(self) -> None:
-        """One turn for all that comes in one round of the loop."""
-        if not self.due:
-            self.due = True
-            asyncio.get_running_loop().call_soon(self.turn)
+    def schedule_turn(self) -> None:
+        """Schedules one turn for all events of one event loop iteration."""
+        if not self.turn_scheduled:
+            self.turn_scheduled = True
+            asyncio.get_running_loop().call_soon(self.run_turn)
 
-    def turn(self) -> None:
-        self.due = False
+    def run_turn(self) -> None:
+        self.turn_scheduled = False
         now = time.monotonic_ns()
         output = self.core.run_turn(now)
         for outgoing in output.frames:
-            link = self.links.get(outgoing.connection_id)
-            if link is not None:
-                link.send(outgoing.frame)
+            connection = self.connections.get(outgoing.connection_id)
+            if connection is not None:
+                connection.send(outgoing.frame)
         for number in output.connections_to_close:
-            if number in self.links:
-                self.links[number].close()
+            if number in self.connections:
+                self.connections[number].close()
         for frame in output.reports:
-            self.register.send(encode_register(ReportFrame(frame)))
+            self.store_connection.send(encode_store_message(ReportFrame(frame)))
         self.timer.set(self.core.get_next_wake_time(now))
 
 
-def load(servers: list[DistributorServer], plan: FleetPlan) -> None:
-    """All partitions into all distributors of this process; keys and values are shared."""
+def load_partitions(servers: list[DistributorServer], plan: FleetPlan) -> None:
+    """Loads all partitions into all distributors of this process, which share keys and values."""
     for number in range(plan.partitions + 1):
         entries = plan.entries(number)
         digest = compute_digest(entries)
@@ -175,30 +180,30 @@
         server.core.update_assignments(time.monotonic_ns(), 1, assignment)
 
 
-def run_distributors(pipe: Connection, plan: FleetPlan, names: list[str], register_port: int) -> None:
-    """A process of some distributors; ends with `stop` or with its parent."""
-    before = resident_memory(os.getpid())
+def run_distributors(pipe: Connection, plan: FleetPlan, names: list[str], store_port: int) -> None:
+    """Runs a process with some distributors until the command `stop` or the end of its parent."""
+    memory_before = get_resident_memory(os.getpid())
 
     async def run() -> None:
         servers = [DistributorServer(name, plan) for name in names]
-        load(servers, plan)
+        load_partitions(servers, plan)
         gc.freeze()
-        ports = {server.core.name: await server.start(register_port) for server in servers}
+        ports = {server.core.name: await server.start(store_port) for server in servers}
         pipe.send(ports)
 
-        def answer(command: Command) -> Usage:
+        def execute_command(command: Command) -> Usage:
             for server in servers:
                 if command.name == "lose" and server.core.name == command.distributor:
-                    server.lose()
-            return Usage(processor_time(), resident_memory(os.getpid()), before)
+                    server.crash()
+            return Usage(get_processor_time(), get_resident_memory(os.getpid()), memory_before)
 
-        await obey(pipe, answer)
+        await serve_commands(pipe, execute_command)
 
     uvloop.run(run())
 
 
-async def obey(pipe: Connection, answer) -> None:
-    """Answer the parent's commands until it says stop or is gone."""
+async def serve_commands(pipe: Connection, execute_command) -> None:
+    """Executes the parent's commands until it sends `stop` or ends."""
     loop = asyncio.get_running_loop()
     while True:
         try:
@@ -207,127 +212,129 @@
             return
         if command.name == "stop":
             return
-        pipe.send(answer(command))
+        pipe.send(execute_command(command))
 
 
 class HollowRelay:
-    """One relay's core without a folder of its own and without messages to deliver."""
+    """One relay's configuration core, without stored files and without messages to deliver."""
 
     def __init__(self, process: HollowProcess, name: str) -> None:
         self.process = process
         self.name = name
         self.holder: Holder | None = None
-        self.link: FrameLink | None = None
-        self.timer = Timer(self.tick)
+        self.connection: FrameConnection | None = None
+        self.timer = Timer(self.advance_time)
         self.sample = RelaySample()
         self.session = 0
-        self.wanted = 0
+        self.expected_replicas = 0
         self.started_at = 0
-        self.second = 0
-        self.second_bytes = 0
+        self.current_second = 0
+        self.current_second_bytes = 0
 
-    def start(self, with_folder: bool) -> None:
+    def start(self, with_stored_data: bool) -> None:
         plan = self.process.plan
-        numbers = sorted(self.process.assignment[self.name].partitions)
+        partitions = sorted(self.process.assignment[self.name].partitions)
         assignment, stored = None, {}
-        if with_folder:
-            assignment = WriteAssignment(1, tuple(numbers))
-            for number in numbers:
+        if with_stored_data:
+            assignment = WriteAssignment(1, tuple(partitions))
+            for number in partitions:
                 entries = plan.entries(number)
                 stored[number] = StoredReplica(number + 1, compute_digest(entries), entries)
-        self.wanted = len(numbers)
+        self.expected_replicas = len(partitions)
         self.session += 1_000_000
         self.started_at = time.monotonic_ns()
         distributors = self.process.ports
         self.holder = Holder(
             self.name, self.session, distributors, HolderRules(), self.started_at, assignment, stored
         )
-        self.tick()
+        self.advance_time()
 
     def stop(self) -> None:
         self.timer.cancel()
         self.holder = None
-        if self.link is not None:
-            self.link.close()
-            self.link = None
+        if self.connection is not None:
+            self.connection.close()
+            self.connection = None
 
-    def tick(self) -> None:
+    def advance_time(self) -> None:
         if self.holder is not None:
             self.holder.advance_time(time.monotonic_ns())
-            self.after()
+            self.perform_actions()
 
-    def frame(self, link: FrameLink, frame: bytes) -> None:
-        if link is self.link and self.holder is not None:
-            self.count_second(len(frame))
+    def receive_frame(self, connection: FrameConnection, frame: bytes) -> None:
+        if connection is self.connection and self.holder is not None:
+            self.add_to_current_second(len(frame))
             self.holder.receive_frame(time.monotonic_ns(), self.holder.distributor, frame)
-            self.after()
+            self.perform_actions()
 
-    def lost(self, link: FrameLink) -> None:
-        self.add_bytes(link)
-        if link is self.link and self.holder is not None:
-            self.link = None
+    def handle_disconnect(self, connection: FrameConnection) -> None:
+        self.add_bytes(connection)
+        if connection is self.connection and self.holder is not None:
+            self.connection = None
             self.holder.handle_connection_down(time.monotonic_ns(), self.holder.distributor)
-            self.after()
+            self.perform_actions()
 
-    def after(self) -> None:
-        step = self.holder.take_actions()
+    def perform_actions(self) -> None:
+        actions = self.holder.take_actions()
         now = time.monotonic_ns()
-        for write in step.writes:
+        for write in actions.writes:
             if isinstance(write, WriteDelta):
                 self.sample.in_force.append((write.partition, write.version, now))
-        if step.writes and self.sample.filled_after is None:
-            self.look_whether_filled(now)
-        for frame in step.frames:
-            if self.link is not None:
-                self.count_second(len(frame))
-                self.link.send(frame)
-        for word in step.digest_requests:
-            self.process.ask_word(AskWord(self.name, word.partition, word.version))
-        if step.connect_to is not None:
-            asyncio.ensure_future(self.connect(step.connect_to))
+        if actions.writes and self.sample.filled_after is None:
+            self.check_filled(now)
+        for frame in actions.frames:
+            if self.connection is not None:
+                self.add_to_current_second(len(frame))
+                self.connection.send(frame)
+        for request in actions.digest_requests:
+            self.process.request_digest(DigestRequest(self.name, request.partition, request.version))
+        if actions.connect_to is not None:
+            asyncio.ensure_future(self.connect(actions.connect_to))
         self.timer.set(self.holder.get_next_wake_time())
 
-    def look_whether_filled(self, now: int) -> None:
+    def check_filled(self, now: int) -> None:
         replicas = self.holder.replicas.values()
-        if len(replicas) == self.wanted and all(replica.version for replica in replicas):
+        if len(replicas) == self.expected_replicas and all(replica.version for replica in replicas):
             self.sample.filled_after = now - self.started_at
 
     async def connect(self, distributor: str) -> None:
-        if self.link is not None:
-            link, self.link = self.link, None
-            link.close()
+        if self.connection is not None:
+            connection, self.connection = self.connection, None
+            connection.close()
         holder = self.holder
         try:
-            _, link = await asyncio.get_running_loop().create_connection(
-                lambda: FrameLink(self.frame, self.lost), LOOPBACK, self.process.ports[distributor]
+            _, connection = await asyncio.get_running_loop().create_connection(
+                lambda: FrameConnection(self.receive_frame, self.handle_disconnect),
+                LOOPBACK,
+                self.process.ports[distributor],
             )
         except OSError:
             if self.holder is holder is not None:
                 holder.handle_connection_down(time.monotonic_ns(), distributor)
-                self.after()
+                self.perform_actions()
             return
         if self.holder is not holder or holder is None:
-            link.close()
+            connection.close()
             return
-        self.link = link
+        self.connection = connection
         holder.handle_connection_up(time.monotonic_ns(), distributor)
-        self.after()
+        self.perform_actions()
 
-    def count_second(self, size: int) -> None:
-        second = time.monotonic_ns() // 1_000_000_000
-        if second != self.second:
-            self.second, self.second_bytes = second, 0
-        self.second_bytes += size
-        self.sample.bytes_worst_second = max(self.sample.bytes_worst_second, self.second_bytes)
+    def add_to_current_second(self, size: int) -> None:
+        current_second = time.monotonic_ns() // 1_000_000_000
+        if current_second != self.current_second:
+            self.current_second, self.current_second_bytes = current_second, 0
+        self.current_second_bytes += size
+        self.sample.bytes_worst_second = max(self.sample.bytes_worst_second, self.current_second_bytes)
 
-    def add_bytes(self, link: FrameLink) -> None:
-        self.sample.bytes_in += link.bytes_in
-        self.sample.bytes_out += link.bytes_out
-        link.bytes_in = link.bytes_out = 0
+    def add_bytes(self, connection: FrameConnection) -> None:
+        self.sample.bytes_in += connection.bytes_in
+        self.sample.bytes_out += connection.bytes_out
+        connection.bytes_in = connection.bytes_out = 0
 
     def take_sample(self) -> RelaySample:
-        if self.link is not None:
-            self.add_bytes(self.link)
+        if self.connection is not None:
+            self.add_bytes(self.connection)
         sample, self.sample = self.sample, RelaySample()
         return sample
 
@@ -337,51 +344,51 @@
 
     def __init__(self, plan: FleetPlan, names: list[str]) -> None:
         self.plan = plan
-        everyone = plan.assignment()
-        self.assignment = {name: everyone[name] for name in names}
+        assignments = plan.assignment()
+        self.assignment = {name: assignments[name] for name in names}
         self.ports: dict[str, int] = {}
-        self.register: FrameLink | None = None
-        self.memory_before = resident_memory(os.getpid())
+        self.store_connection: FrameConnection | None = None
+        self.memory_before = get_resident_memory(os.getpid())
         self.relays = {name: HollowRelay(self, name) for name in names}
 
-    async def start(self, register_port: int) -> None:
-        _, self.register = await asyncio.get_running_loop().create_connection(
-            lambda: FrameLink(self.word, lambda link: None), LOOPBACK, register_port
+    async def start(self, store_port: int) -> None:
+        _, self.store_connection = await asyncio.get_running_loop().create_connection(
+            lambda: FrameConnection(self.receive_digest, lambda connection: None), LOOPBACK, store_port
         )
 
-    def ask_word(self, question: AskWord) -> None:
-        self.register.send(encode_register(question))
+    def request_digest(self, request: DigestRequest) -> None:
+        self.store_connection.send(encode_store_message(request))
 
-    def word(self, link: FrameLink, frame: bytes) -> None:
-        message = decode_register(frame)
-        if isinstance(message, Word):
+    def receive_digest(self, connection: FrameConnection, frame: bytes) -> None:
+        message = decode_store_message(frame)
+        if isinstance(message, DigestResponse):
             relay = self.relays[message.relay]
             if relay.holder is not None:
                 now = time.monotonic_ns()
                 relay.holder.receive_store_digest(now, message.partition, message.version, message.digest)
-                relay.after()
+                relay.perform_actions()
 
-    def answer(self, command: Command) -> Sample:
+    def execute_command(self, command: Command) -> Sample:
         if command.name == "start":
             self.ports = command.ports
             for relay in self.relays.values():
-                relay.start(with_folder=True)
+                relay.start(with_stored_data=True)
         elif command.name == "restart":
             for name in command.relays:
                 if name in self.relays:
                     self.relays[name].stop()
-                    self.relays[name].start(with_folder=False)
-        usage = Usage(processor_time(), resident_memory(os.getpid()), self.memory_before)
+                    self.relays[name].start(with_stored_data=False)
+        usage = Usage(get_processor_time(), get_resident_memory(os.getpid()), self.memory_before)
         return Sample(usage, {name: relay.take_sample() for name, relay in self.relays.items()})
 
 
-def run_relays(pipe: Connection, plan: FleetPlan, names: list[str], register_port: int) -> None:
-    """A process of some hollow relays; ends with `stop` or with its parent."""
+def run_relays(pipe: Connection, plan: FleetPlan, names: list[str], store_port: int) -> None:
+    """Runs a process with some hollow relays until the command `stop` or the end of its parent."""
 
     async def run() -> None:
         process = HollowProcess(plan, names)
-        await process.start(register_port)
+        await process.start(store_port)
         pipe.send(os.getpid())
-        await obey(pipe, process.answer)
+        await serve_commands(pipe, process.execute_command)
 
     uvloop.run(run())
--- a/millweir/lab/scale/membership_messages.py
+++ b/millweir/lab/scale/membership_messages.py
@@ -1,87 +1,87 @@
-"""What a membership scale test and its hollow processes tell each other: JSON lines on pipes."""
+"""Messages between a membership scale test and its hollow processes: JSON lines on pipes."""
 
 from __future__ import annotations
 
 import msgspec
 
-REGIONS = 4
-ZONES = 11
-RACK = 20  # members of one rack
-SEEDS = 2  # the first members
-LOST_RACK_ZONE = 2  # it has none of the seeds
+REGION_COUNT = 4
+ZONE_COUNT = 11
+RACK_MEMBERS = 20
+SEED_COUNT = 2  # seed members, which have the lowest numbers
+LOST_RACK_ZONE = 2  # contains no seed
 LOST_ZONE = 3
-CUT_REGION = 1  # three of the zones, and the second seed
+CUT_REGION = 1  # contains three of the zones and the second seed
 
 
 class Plan(msgspec.Struct, frozen=True, tag=True):
-    """The first line to a hollow process: which members it runs, and when they start."""
+    """First line sent to a hollow process: the members that it runs, and when they start."""
 
     size: int  # members of the fleet
     processes: int
-    index: int  # of this process: it runs the members whose number leaves this rest
+    index: int  # of this process, which runs the members whose number modulo `processes` equals it
     seed: int
-    port: int  # all members listen on it, each on a loopback address of its own
+    port: int  # of all members; each listens on a loopback address of its own
     start_at: int  # monotonic nanoseconds, the same clock in all processes
 
-    def own(self) -> range:
-        """Numbers of the members that this process runs."""
+    def list_own_members(self) -> range:
+        """Returns the numbers of the members that this process runs."""
         return range(self.index, self.size, self.processes)
 
 
 class Kill(msgspec.Struct, frozen=True, tag=True):
-    """These members end without a word."""
+    """Command: these members crash."""
 
     members: tuple[int, ...]
 
 
 class Restart(msgspec.Struct, frozen=True, tag=True):
-    """This member leaves in order and comes back with what its folder kept."""
+    """Command: this member leaves gracefully and restarts with its stored state."""
 
     member: int
 
 
 class Cut(msgspec.Struct, frozen=True, tag=True):
-    """Nothing passes between the region `CUT_REGION` and the others."""
+    """Command: partition the network between the region `CUT_REGION` and the others."""
 
 
 class Heal(msgspec.Struct, frozen=True, tag=True):
-    """The cut is over."""
+    """Command: end the network partition."""
 
 
 class Begin(msgspec.Struct, frozen=True, tag=True):
-    """Samples before this count no more."""
+    """Command: discard the samples taken so far."""
 
 
 class End(msgspec.Struct, frozen=True, tag=True):
-    """Tell the samples since `Begin`."""
+    """Command: report the samples taken since `Begin`."""
 
 
 Command = Plan | Kill | Restart | Cut | Heal | Begin | End
 
 
 class Built(msgspec.Struct, frozen=True, tag=True):
-    """All members of this process are made."""
+    """Report: all members of this process have been created."""
 
-    late: float  # seconds after the time at which they should have started; negative where before
-    resident_before: int  # bytes held before the members were made
-    resident: int  # and after
+    late: float  # seconds after the planned start time; negative if before it
+    resident_before: int  # resident bytes before the members were created
+    resident: int  # and afterwards
 
 
 class View(msgspec.Struct, frozen=True, tag=True):
-    """How far the living members of this process agree, several times a second."""
+    """Report: how far the living members of this process agree; sent several times a second."""
 
     at: int  # monotonic nanoseconds
-    digests: tuple[int, ...]  # of who is held for there: the different ones, a few at the most
-    truth: int  # this process's part of the digest that is right
+    digests: tuple[int, ...]  # distinct digests of the members' alive sets, a few at most
+    truth: int  # this process's part of the expected digest
 
 
 class Samples(msgspec.Struct, frozen=True, tag=True):
-    """What a window cost: one sample for each living member and second, in the same order in both lists."""
+    """Report: cost of a window; one sample per living member and second, in the same order in both lists."""
 
     sent_bytes: list[int]
     processor: list[int]  # nanoseconds in the member's own calls
     members: list[tuple[int, int]]  # for each member: bytes and nanoseconds of the whole window
-    process_time: int  # nanoseconds of the whole process, its loop and kernel's work with it
+    process_time: int  # nanoseconds of the whole process, with its event loop and system calls
     seconds: float
     counts: dict[str, int]  # of all members together
 
@@ -89,32 +89,32 @@
 Report = Built | View | Samples
 
 
-def zone_of(member: int) -> int:
-    return member % ZONES
+def get_zone(member: int) -> int:
+    return member % ZONE_COUNT
 
 
-def region_of(member: int) -> int:
-    return zone_of(member) % REGIONS
+def get_region(member: int) -> int:
+    return get_zone(member) % REGION_COUNT
 
 
-def name_of(member: int) -> str:
+def format_name(member: int) -> str:
     return f"m{member}"
 
 
-def address_of(member: int, port: int) -> tuple[str, int]:
-    """A loopback address of the member's own."""
+def get_address(member: int, port: int) -> tuple[str, int]:
+    """Returns the member's own loopback address."""
     return f"127.88.{member >> 8}.{member & 255}", port
 
 
-def hole_address(port: int) -> tuple[str, int]:
-    """What is sent there is never read."""
+def get_black_hole_address(port: int) -> tuple[str, int]:
+    """Returns the address of sockets that nobody reads."""
     return "127.88.255.254", port
 
 
-def zone_members(size: int, zone: int) -> tuple[int, ...]:
-    return tuple(member for member in range(size) if zone_of(member) == zone)
+def list_zone_members(size: int, zone: int) -> tuple[int, ...]:
+    return tuple(member for member in range(size) if get_zone(member) == zone)
 
 
-def rack_members(size: int) -> tuple[int, ...]:
-    """About twenty members of one zone; all of the zone where it has fewer."""
-    return zone_members(size, LOST_RACK_ZONE)[:RACK]
+def list_rack_members(size: int) -> tuple[int, ...]:
+    """Returns twenty members of one zone, or all of them if it has fewer."""
+    return list_zone_members(size, LOST_RACK_ZONE)[:RACK_MEMBERS]
--- a/millweir/lab/scale/membership_steps.py
+++ b/millweir/lab/scale/membership_steps.py
@@ -1,8 +1,8 @@
-"""Counts the deciding core's steps on a simulated fleet: the same figure on each run of a seed.
+"""Counts the steps of the membership core on a simulated fleet; a seed gives the same count in every run.
 
-A step is one bytecode instruction executed in `millweir/members` or in the interpreter's `random`, which
-shuffles for the core.  What the interpreter does inside one instruction (an insertion into a list) is not
-counted.  The same interpreter gives the same count; another one gives another, of the same form of growth.
+A step is one bytecode instruction executed in `millweir/members` or in the standard library's `random`,
+which the core uses for shuffling.  Work inside one instruction (an insertion into a list) is not counted.
+Counts are the same on one interpreter version; on others they differ, but grow in the same way.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 from millweir.members.core import SECOND, Core, Port, Rules
 from millweir.members.messages import PROTOCOL_VERSIONS, MemberRecord, ReportedState
 
-COUNTED = (str(Path(millweir.members.__file__).parent), random.__file__)
-PORT = 7946
-SETTLING = 10  # simulated seconds until what the start stirs up is over
+COUNTED_PATHS = (str(Path(millweir.members.__file__).parent), random.__file__)
+MEMBER_PORT = 7946
+SETTLING_SECONDS = 10  # until the gossip caused by the start has ended
 
 
 @dataclass(frozen=True, slots=True)
-class Cost:
-    """What a stretch of simulated time cost, for each member and second."""
+class MemberCost:
+    """Cost of a period of simulated time, per member and second."""
 
     steps: float
     datagrams: float
@@ -35,92 +35,95 @@
 
 
 class StepCounter:
-    """Counts steps while it is entered."""
+    """Counts the steps within its `with` block."""
 
     def __init__(self) -> None:
         self.steps = 0
-        self._before: object = None
+        self._previous_trace: object = None
 
     def __enter__(self) -> StepCounter:
-        self._before = sys.gettrace()
-        sys.settrace(self._called)
+        self._previous_trace = sys.gettrace()
+        sys.settrace(self._trace_call)
         return self
 
     def __exit__(
-        self, kind: type[BaseException] | None, fault: BaseException | None, trace: TracebackType | None
+        self,
+        error_type: type[BaseException] | None,
+        error: BaseException | None,
+        traceback: TracebackType | None,
     ) -> None:
-        sys.settrace(self._before)
+        sys.settrace(self._previous_trace)
 
-    def _called(self, frame: FrameType, event: str, argument: object) -> Callable | None:
-        if not frame.f_code.co_filename.startswith(COUNTED):
+    def _trace_call(self, frame: FrameType, event: str, argument: object) -> Callable | None:
+        if not frame.f_code.co_filename.startswith(COUNTED_PATHS):
             return None
         frame.f_trace_lines = False
         frame.f_trace_opcodes = True
-        return self._executed
+        return self._trace_instruction
 
-    def _executed(self, frame: FrameType, event: str, argument: object) -> Callable:
+    def _trace_instruction(self, frame: FrameType, event: str, argument: object) -> Callable:
         if event == "opcode":
             self.steps += 1
-        return self._executed
+        return self._trace_instruction
 
 
-def settled_fleet(size: int, seed: int, make: Callable[..., Core] = Core) -> Fleet:
-    """A simulated fleet whose members all know each other, some seconds after its start."""
+def build_settled_fleet(size: int, seed: int, make: Callable[..., Core] = Core) -> Fleet:
+    """Builds a simulated fleet whose members all know each other, and runs it until it has settled."""
     fleet = Fleet(size, seed, Rules(max_members=max(size, 64)), make=make)
-    fleet.run(SETTLING * SECOND)
+    fleet.run(SETTLING_SECONDS * SECOND)
     return fleet
 
 
 class SilentPort:
-    """A core's port to nowhere."""
+    """A core's port that does nothing."""
 
-    def send(self, *given: object) -> None: ...
-    def request_full_state(self, *given: object) -> None: ...
-    def set_timer(self, *given: object) -> None: ...
-    def notify_status_change(self, *given: object) -> None: ...
-    def save_incarnation(self, *given: object) -> None: ...
-    def log_event(self, *given: object, **fields: object) -> None: ...
+    def send(self, *arguments: object) -> None: ...
+    def request_full_state(self, *arguments: object) -> None: ...
+    def set_timer(self, *arguments: object) -> None: ...
+    def notify_status_change(self, *arguments: object) -> None: ...
+    def save_incarnation(self, *arguments: object) -> None: ...
+    def log_event(self, *arguments: object, **fields: object) -> None: ...
 
 
-def claim_of(number: int) -> MemberRecord:
-    """What the member of that number says of itself."""
+def build_record(number: int) -> MemberRecord:
+    """Builds the record that the member of that number publishes about itself."""
     host, name = f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}", f"m{number}"
-    return MemberRecord(name, number + 1, 1, ReportedState.ALIVE, host, PORT, name, *PROTOCOL_VERSIONS)
+    return MemberRecord(name, number + 1, 1, ReportedState.ALIVE, host, MEMBER_PORT, name, *PROTOCOL_VERSIONS)
 
 
-def lone_core(size: int, seed: int, port: Port | None = None) -> Core:
-    """Member 0 of a fleet, at time 0, that knows all others."""
+def build_lone_core(size: int, seed: int, port: Port | None = None) -> Core:
+    """Builds the core of member 0 of a fleet, at time 0, which knows all other members."""
     rules = Rules(max_members=max(4096, 2 * size))
-    core = Core(port or SilentPort(), rules, random.Random(seed), 0, claim_of(0))
+    core = Core(port or SilentPort(), rules, random.Random(seed), 0, build_record(0))
     for number in range(1, size):
-        core.add_known_member(0, claim_of(number))
-    core.finish_bootstrap(0, [claim_of(number).address for number in range(2)])
+        core.add_known_member(0, build_record(number))
+    core.finish_bootstrap(0, [build_record(number).address for number in range(2)])
     return core
 
 
-def steps_of(call: Callable[..., object], *given: object) -> int:
-    """Steps of one call."""
+def count_steps(call: Callable[..., object], *arguments: object) -> int:
+    """Counts the steps of one call."""
     with StepCounter() as counter:
-        call(*given)
+        call(*arguments)
     return counter.steps
 
 
-def cost_of(fleet: Fleet, seconds: int, steps: bool = True) -> Cost:
-    """Runs a fleet on for so many simulated seconds and counts; without steps it is much quicker."""
-    datagrams, sent = _sent(fleet)
+def measure_cost(fleet: Fleet, seconds: int, steps: bool = True) -> MemberCost:
+    """Runs a fleet for some simulated seconds and measures its cost; much faster without `steps`."""
+    datagrams, sent_bytes = _count_sent(fleet)
     counter = StepCounter()
     with counter if steps else contextlib.nullcontext():
         fleet.run(fleet.now + seconds * SECOND)
-    datagrams_after, sent_after = _sent(fleet)
+    datagrams_after, sent_bytes_after = _count_sent(fleet)
     member_seconds = len(fleet.living) * seconds
-    return Cost(
+    return MemberCost(
         counter.steps / member_seconds,
         (datagrams_after - datagrams) / member_seconds,
-        (sent_after - sent) / member_seconds,
+        (sent_bytes_after - sent_bytes) / member_seconds,
     )
 
 
-def _sent(fleet: Fleet) -> tuple[int, int]:
+def _count_sent(fleet: Fleet) -> tuple[int, int]:
     living = fleet.living
     return (
         sum(node.counts["datagrams"] for node in living),
--- a/millweir/lab/scale/parts.py
+++ b/millweir/lab/scale/parts.py
@@ -1,4 +1,4 @@
-"""The parts that can be measured, each loaded only when it is asked for."""
+"""The parts that can be measured, by name; the module of each is imported only on request."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from millweir.lab.scale.guard import Guard
 from millweir.lab.scale.measurement import Figure
 
-Measure = Callable[[int, int, Guard], Iterator[Figure]]  # size, seed, limits of the run
+MeasureFunction = Callable[[int, int, Guard], Iterator[Figure]]  # size, seed, limits of the run
 
 PARTS = {
     "decisions": "millweir.lab.scale.decisions",
@@ -21,6 +21,6 @@
 }
 
 
-def load_part(name: str) -> Measure:
-    """The function `measure` of a part's module; KeyError for an unknown name."""
+def load_part(name: str) -> MeasureFunction:
+    """Returns the function `measure` of a part's module; raises KeyError for an unknown name."""
     return importlib.import_module(PARTS[name]).measure
--- a/millweir/lab/scale/placement_senders.py
+++ b/millweir/lab/scale/placement_senders.py
@@ -1,19 +1,21 @@
-"""What senders learn of one small destination: the real deciding module, in simulated time.
-
-One destination takes a few calls a second; its messages are dealt out at random over the relays that may send
-to it: all of the fleet (`unplaced`), or the replicas of its partition (`placed`).  Every relay is a
-`millweir.control.Relay` with `relays` set to their number; only the destination and the clock are stand-ins.
-Quantities, by trouble; each has `-placed` or `-unplaced` at its end:
-
-- limit (what the partner takes is half of what is listed, and more is offered): `calls-refused`, as a part of
-  all calls in the second half of the run: small where the limit has been learned; `limit-used`, the part of
-  the true limit that was delivered; `limits-held`, the sum of the relays' limits at the end over the true.
-- outage (the destination is down for a while): `calls-into-outage`, until its end; `return-noticed-after`,
-  the mean over relays that had found it down of the time from its return to their next call that goes well,
-  as far as the run goes; `never-noticed`, the part of these relays that had none by the run's end; and
-  `delivered-after-return`, over what was offered then.
-- `cold-start-calls`: calls a second that one relay may send a destination that comes back, before any of them
-  has gone well, worked out from the rules (the trickle of rule 4).
+"""Measures what senders learn about one small destination, with the real decision module in simulated time.
+
+One destination accepts a few calls per second; its messages are distributed at random over the relays that
+may send to it: all of the fleet (`unplaced`), or the replicas of its partition (`placed`).  Every relay is
+a `millweir.control.Relay` with `relays` set to their number; only the destination and the clock are
+simulated. Quantities, by trouble; each name ends in `-placed` or `-unplaced`:
+
+- limit (the partner accepts half of the listed rate, and more is offered): `calls-refused`, the fraction of
+  all calls in the second half of the run, small if the limit has been learned; `limit-used`, the fraction
+  of the true limit that was delivered; `limits-held`, the sum of the relays' limits at the end over the
+  true limit.
+- outage (the destination is down for a time): `calls-into-outage`, calls until its end;
+  `return-noticed-after`, the mean time from the recovery to the next successful call of a relay that had
+  found the destination down, over those relays that made one within the run; `never-noticed`, the fraction
+  of the relays that did not; and `delivered-after-return`, messages delivered over messages offered after
+  the recovery.
+- `cold-start-calls`: calls per second that one relay may send to a recovering destination before the first
+  one succeeds, calculated from the rules (slow start, so that a recovering host is not overloaded).
 """
 
 from __future__ import annotations
@@ -29,19 +31,19 @@
 from millweir.interface import SECOND, Change, Effect, Entry, Host, Outcome, Packet, Phase, Profile, Settings
 from millweir.lab.scale.measurement import Figure
 
-LISTED_RATE = 2.0  # calls a second
-ANSWER_TIME = SECOND // 10
+LISTED_CALLS_PER_SECOND = 2.0
+ANSWER_DELAY_NS = SECOND // 10
 HOST = bytes((10, 0, 0, 1, 0, 80))
 DESTINATION = 7
-COLD_SHARE = 0.4  # fall-multiple x cold-from
-CLASS = Profile("class", 1.0, 2 * SECOND, 60 * SECOND, 0.4, Effect.IDEMPOTENT, 0, False, False)
+SLOW_START_FRACTION = 0.4  # fall-multiple x cold-from
+SERVICE_CLASS = Profile("class", 1.0, 2 * SECOND, 60 * SECOND, 0.4, Effect.IDEMPOTENT, 0, False, False)
 
 
-def settings_for(relays: int) -> Settings:
-    """The settings that a relay would be given."""
+def build_settings(relays: int) -> Settings:
+    """Builds the settings of each of `relays` relays."""
     return Settings(
         relays=relays,
-        profiles=(CLASS,),
+        profiles=(SERVICE_CLASS,),
         tenants=(),
         zone=0,
         zones=("a",),
@@ -69,7 +71,7 @@
         answer_slack=SECOND // 50,
         fall_multiple=2.0,
         fall_time=2 * SECOND,
-        cold_from=COLD_SHARE / 2.0,
+        cold_from=SLOW_START_FRACTION / 2.0,
         cold_time=10 * SECOND,
         key_quiet=SECOND // 2,
         fees=(),
@@ -77,8 +79,8 @@
 
 
 @dataclass(slots=True)
-class Attempt:
-    """A call as the destination saw it."""
+class ReceivedCall:
+    """A call as received by the destination."""
 
     relay: int
     sent_at: int
@@ -86,213 +88,250 @@
 
 
 class Destination:
-    """Takes so many calls in any second, and is down between two times."""
+    """Accepts a number of calls in any time window, and is down between two times."""
 
     def __init__(self, rate: float, down_from: int, down_until: int) -> None:
-        self._room, self._window = max(1, round(rate)), int(SECOND * max(1, round(rate)) / rate)
+        self._max_calls, self._window_ns = max(1, round(rate)), int(SECOND * max(1, round(rate)) / rate)
         self._down_from, self._down_until = down_from, down_until
-        self._taken: deque[int] = deque()
+        self._accepted_at: deque[int] = deque()
 
     def answer(self, now: int) -> Outcome:
-        """How a call that comes now ends."""
+        """Returns the outcome of a call that arrives now."""
         if self._down_from <= now < self._down_until:
             return Outcome.FAULT
-        while self._taken and self._taken[0] <= now - self._window:
-            self._taken.popleft()
-        if len(self._taken) >= self._room:
+        while self._accepted_at and self._accepted_at[0] <= now - self._window_ns:
+            self._accepted_at.popleft()
+        if len(self._accepted_at) >= self._max_calls:
             return Outcome.FULL
-        self._taken.append(now)
+        self._accepted_at.append(now)
         return Outcome.FULFILLED
 
 
-class Sender:
-    """One relay's port: its calls go to the destination, its alarms into the queue of events."""
+class SenderPort:
+    """One relay's port: calls go to the simulated destination, alarms to the event queue."""
 
-    def __init__(self, number: int, run: Senders) -> None:
-        self._number, self._run = number, run
-        settings = settings_for(run.relays)
-        self.relay = Relay(self, settings, run.seed * 100_003 + number, run.now)
-        entry = Entry(HOST, 0, 0, DESTINATION, Phase.READY, run.listed)
-        self.relay.update_hosts(run.now, Change.FULL, (entry,))
+    def __init__(self, number: int, simulation: SendersSimulation) -> None:
+        self._number, self._simulation = number, simulation
+        settings = build_settings(simulation.relays)
+        self.relay = Relay(self, settings, simulation.seed * 100_003 + number, simulation.now)
+        entry = Entry(HOST, 0, 0, DESTINATION, Phase.READY, simulation.listed_rate)
+        self.relay.update_hosts(simulation.now, Change.FULL, (entry,))
 
     def send(self, packet: Packet, host: Host, time_out: int) -> None:
-        self._run.called(self._number, packet.id, len(packet.trips) - 1)
+        self._simulation.handle_call(self._number, packet.id, len(packet.trips) - 1)
 
     def dismiss(self, packet: Packet, wait: int) -> None:
-        self._run.given_up += 1
+        self._simulation.given_up_messages += 1
 
     def fail(self, packet: Packet) -> None:
-        self._run.given_up += 1
+        self._simulation.given_up_messages += 1
 
     def set_alarm(self, delay: int) -> None:
-        self._run.schedule(self._run.now + delay, self._ring)
+        self._simulation.schedule(self._simulation.now + delay, self._end_round)
 
     def cancel(self, packet: Packet, number: int) -> None:
-        """Answers come in time here."""
+        """Does nothing: every call is answered in time."""
 
     def close_idle_connections(self, host: Host) -> None:
-        """There are no links here."""
+        """Does nothing: there are no connections."""
 
     def request_host_list(self) -> None:
-        """The list never changes here."""
+        """Does nothing: the list never changes."""
 
-    def _ring(self) -> None:
-        self.relay.end_round(self._run.now)
+    def _end_round(self) -> None:
+        self.relay.end_round(self._simulation.now)
 
 
-class Senders:
-    """All relays that send to the destination, and the events to come."""
+class SendersSimulation:
+    """Simulation of all relays that send to the destination, with its event queue."""
 
-    def __init__(self, relays: int, listed: float, destination: Destination, seed: int) -> None:
-        self.relays, self.listed, self.seed = relays, listed, seed
-        self.now, self.given_up = SECOND, 0
-        self.ends_at = 0
-        self.attempts: list[Attempt] = []
-        self.offered: list[int] = []
-        self._destination, self._chance = destination, random.Random(seed)
+    def __init__(self, relays: int, listed_rate: float, destination: Destination, seed: int) -> None:
+        self.relays, self.listed_rate, self.seed = relays, listed_rate, seed
+        self.now, self.given_up_messages = SECOND, 0
+        self.end_time = 0
+        self.calls: list[ReceivedCall] = []
+        self.offered_at: list[int] = []
+        self._destination, self._rng = destination, random.Random(seed)
         self._events: list[tuple[int, int, object]] = []
         self._order = count().__next__
-        self.senders = [Sender(number, self) for number in range(relays)]
+        self.senders = [SenderPort(number, self) for number in range(relays)]
 
-    def schedule(self, at: int, what: object) -> None:
-        heappush(self._events, (at, self._order(), what))
+    def schedule(self, at: int, action: object) -> None:
+        heappush(self._events, (at, self._order(), action))
 
     def offer(self, rate: float, until: int) -> None:
-        """Messages at random times, each handed to one of the relays at random."""
+        """Schedules messages at random times, each submitted to a random relay."""
         at = self.now
         while at < until:
-            at += int(self._chance.expovariate(rate) * SECOND)
-            self.offered.append(at)
-            self.schedule(at, self._hand_in)
+            at += int(self._rng.expovariate(rate) * SECOND)
+            self.offered_at.append(at)
+            self.schedule(at, self._submit_message)
 
     def run(self, until: int) -> None:
-        """Let time pass until then."""
-        self.ends_at = until
+        """Processes events up to a time."""
+        self.end_time = until
         while self._events and self._events[0][0] <= until:
-            self.now, _, what = heappop(self._events)
-            what()
+            self.now, _, action = heappop(self._events)
+            action()
 
-    def called(self, number: int, message: int, trip: int) -> None:
+    def handle_call(self, number: int, message: int, trip: int) -> None:
         outcome, sent_at = self._destination.answer(self.now), self.now
-        self.attempts.append(Attempt(number, sent_at, outcome))
+        self.calls.append(ReceivedCall(number, sent_at, outcome))
 
-        def ended() -> None:
-            relay, done = self.senders[number].relay, outcome is Outcome.FULFILLED
-            relay.end_trip(self.now, message, trip, outcome, done, self.now - sent_at, 0, ())
+        def end_call() -> None:
+            relay, succeeded = self.senders[number].relay, outcome is Outcome.FULFILLED
+            relay.end_trip(self.now, message, trip, outcome, succeeded, self.now - sent_at, 0, ())
             relay.end_round(self.now)
 
-        self.schedule(sent_at + ANSWER_TIME, ended)
+        self.schedule(sent_at + ANSWER_DELAY_NS, end_call)
 
-    def _hand_in(self) -> None:
-        relay = self.senders[self._chance.randrange(self.relays)].relay
-        relay.add_packet(self.now, self._order(), 0, 0, 0, self.now + CLASS.lifetime, DESTINATION)
+    def _submit_message(self) -> None:
+        relay = self.senders[self._rng.randrange(self.relays)].relay
+        relay.add_packet(self.now, self._order(), 0, 0, 0, self.now + SERVICE_CLASS.lifetime, DESTINATION)
         relay.end_round(self.now)
 
 
 @dataclass(frozen=True, slots=True)
 class Outage:
-    """In seconds: when it begins and ends, and when the run does."""
+    """Seconds at which the outage starts and ends, and at which the run ends."""
 
-    begins: int = 600
-    ends: int = 1200
-    run_ends: int = 2400
+    start_seconds: int = 600
+    end_seconds: int = 1200
+    run_seconds: int = 2400
 
 
-LIMIT_SECONDS = 1200
-OUTAGE = Outage()
+LIMIT_RUN_SECONDS = 1200
+DEFAULT_OUTAGE = Outage()
 
 
-def limit_run(relays: int, seed: int, seconds: int = LIMIT_SECONDS) -> Senders:
-    """Half of the listed rate is the truth; three quarters of the listed rate are offered."""
-    run = Senders(relays, 2 * LISTED_RATE, Destination(LISTED_RATE, 0, 0), seed)
-    run.offer(1.5 * LISTED_RATE, seconds * SECOND)
-    run.run(seconds * SECOND)
-    return run
+def run_limit_scenario(relays: int, seed: int, seconds: int = LIMIT_RUN_SECONDS) -> SendersSimulation:
+    """Runs with a true limit of half the listed rate, offering three quarters of the listed rate."""
+    simulation = SendersSimulation(
+        relays, 2 * LISTED_CALLS_PER_SECOND, Destination(LISTED_CALLS_PER_SECOND, 0, 0), seed
+    )
+    simulation.offer(1.5 * LISTED_CALLS_PER_SECOND, seconds * SECOND)
+    simulation.run(seconds * SECOND)
+    return simulation
 
 
-def outage_run(relays: int, seed: int, outage: Outage = OUTAGE) -> Senders:
-    """Half of the limit is offered throughout."""
-    destination = Destination(LISTED_RATE, outage.begins * SECOND, outage.ends * SECOND)
-    run = Senders(relays, LISTED_RATE, destination, seed)
-    run.offer(LISTED_RATE / 2, outage.run_ends * SECOND)
-    run.run(outage.run_ends * SECOND)
-    return run
+def run_outage_scenario(relays: int, seed: int, outage: Outage = DEFAULT_OUTAGE) -> SendersSimulation:
+    """Runs an outage, offering half of the limit throughout."""
+    destination = Destination(
+        LISTED_CALLS_PER_SECOND, outage.start_seconds * SECOND, outage.end_seconds * SECOND
+    )
+    simulation = SendersSimulation(relays, LISTED_CALLS_PER_SECOND, destination, seed)
+    simulation.offer(LISTED_CALLS_PER_SECOND / 2, outage.run_seconds * SECOND)
+    simulation.run(outage.run_seconds * SECOND)
+    return simulation
 
 
-def refused_share(run: Senders) -> float:
-    """Of all calls in the second half of the run."""
-    late = [attempt for attempt in run.attempts if attempt.sent_at > run.ends_at // 2]
-    return sum(attempt.outcome is Outcome.FULL for attempt in late) / len(late)
+def compute_refused_fraction(simulation: SendersSimulation) -> float:
+    """Returns the fraction of the calls in the second half of the run that were rejected over the limit."""
+    late_calls = [call for call in simulation.calls if call.sent_at > simulation.end_time // 2]
+    return sum(call.outcome is Outcome.FULL for call in late_calls) / len(late_calls)
 
 
-def limit_used(run: Senders) -> float:
-    """Delivered over what the true limit lets through, in the second half of the run."""
+def compute_limit_used(simulation: SendersSimulation) -> float:
+    """Returns delivered calls over those that the true limit allows, in the second half of the run."""
     delivered = sum(
-        attempt.outcome is Outcome.FULFILLED and attempt.sent_at > run.ends_at // 2
-        for attempt in run.attempts
+        call.outcome is Outcome.FULFILLED and call.sent_at > simulation.end_time // 2
+        for call in simulation.calls
     )
-    return delivered / (LISTED_RATE * run.ends_at / SECOND / 2)
+    return delivered / (LISTED_CALLS_PER_SECOND * simulation.end_time / SECOND / 2)
 
 
-def limits_held(run: Senders) -> float:
-    """The sum of the relays' limits, as learned by the end, over the true one."""
-    return sum(sender.relay._hosts[HOST].limit_scope.limit for sender in run.senders) / LISTED_RATE
+def compute_learned_limit_ratio(simulation: SendersSimulation) -> float:
+    """Returns the sum of the limits that the relays have learned by the end, over the true limit."""
+    return (
+        sum(sender.relay._hosts[HOST].limit_scope.limit for sender in simulation.senders)
+        / LISTED_CALLS_PER_SECOND
+    )
+
 
+def list_recovery_notice_times(
+    simulation: SendersSimulation, outage: Outage = DEFAULT_OUTAGE
+) -> tuple[list[float], int]:
+    """Returns seconds from the recovery to each relay's first success, and the number of relays without one.
 
-def notice_times(run: Senders, outage: Outage = OUTAGE) -> tuple[list[float], int]:
-    """Seconds from the return to each relay's first call that goes well, and how many had none."""
-    found_down = {attempt.relay for attempt in run.attempts if attempt.outcome is Outcome.FAULT}
-    noticed: dict[int, float] = {}
-    for attempt in run.attempts:
-        if attempt.sent_at >= outage.ends * SECOND and attempt.outcome is Outcome.FULFILLED:
-            noticed.setdefault(attempt.relay, attempt.sent_at / SECOND - outage.ends)
-    times = [noticed[number] for number in sorted(found_down) if number in noticed]
-    return times, len(found_down) - len(times)
+    Only relays that had found the destination down are included.
+    """
+    relays_that_found_it_down = {call.relay for call in simulation.calls if call.outcome is Outcome.FAULT}
+    first_success_seconds: dict[int, float] = {}
+    for call in simulation.calls:
+        if call.sent_at >= outage.end_seconds * SECOND and call.outcome is Outcome.FULFILLED:
+            first_success_seconds.setdefault(call.relay, call.sent_at / SECOND - outage.end_seconds)
+    notice_seconds = [
+        first_success_seconds[number]
+        for number in sorted(relays_that_found_it_down)
+        if number in first_success_seconds
+    ]
+    return notice_seconds, len(relays_that_found_it_down) - len(notice_seconds)
 
 
-def delivered_after_return(run: Senders, outage: Outage = OUTAGE) -> float:
-    """Delivered over offered, from the return on."""
-    since = outage.ends * SECOND
-    delivered = sum(a.sent_at >= since and a.outcome is Outcome.FULFILLED for a in run.attempts)
-    return delivered / sum(at >= since for at in run.offered)
+def compute_delivered_after_return(simulation: SendersSimulation, outage: Outage = DEFAULT_OUTAGE) -> float:
+    """Returns messages delivered over messages offered after the recovery."""
+    recovered_at = outage.end_seconds * SECOND
+    delivered = sum(a.sent_at >= recovered_at and a.outcome is Outcome.FULFILLED for a in simulation.calls)
+    return delivered / sum(at >= recovered_at for at in simulation.offered_at)
 
 
-def cold_start_calls(relays: int) -> float:
-    """Calls a second of one relay's trickle to a destination with one host that it has found down."""
-    return COLD_SHARE * LISTED_RATE / relays
+def compute_slow_start_rate(relays: int) -> float:
+    """Returns the calls per second of one relay's slow start to a destination whose only host was down."""
+    return SLOW_START_FRACTION * LISTED_CALLS_PER_SECOND / relays
 
 
 def measure(size: int, seed: int, replicas: int) -> Iterator[Figure]:
-    """Both troubles, with all relays as senders and with the replicas alone."""
-    for way, senders in (("unplaced", size), ("placed", replicas)):
-        yield from limit_figures(way, senders, size, seed)
-        yield from outage_figures(way, senders, size, seed)
-        yield _figure(f"cold-start-calls-{way}", "calls/s", cold_start_calls(senders), size, "calm")
-
-
-def limit_figures(way: str, senders: int, size: int, seed: int) -> Iterator[Figure]:
-    run = limit_run(senders, seed)
-    yield _figure(f"calls-refused-{way}", "of calls", refused_share(run), size, "limit")
-    yield _figure(f"limit-used-{way}", "of the limit", limit_used(run), size, "limit")
-    yield _figure(f"limits-held-{way}", "times the true limit", limits_held(run), size, "limit")
-
-
-def outage_figures(way: str, senders: int, size: int, seed: int) -> Iterator[Figure]:
-    run = outage_run(senders, seed)
-    into = sum(attempt.outcome is Outcome.FAULT for attempt in run.attempts)
-    times, never = notice_times(run)
-    yield _figure(f"calls-into-outage-{way}", "calls", into, size, "outage")
-    if times:
-        mean = sum(times) / len(times)
-        yield _figure(
-            f"return-noticed-after-{way}", "s", mean, size, "outage", min(times), max(times), len(times)
+    """Yields the figures of both troubles, with all relays as senders and with the replicas alone."""
+    for label, senders in (("unplaced", size), ("placed", replicas)):
+        yield from measure_limit(label, senders, size, seed)
+        yield from measure_outage(label, senders, size, seed)
+        yield _build_figure(
+            f"cold-start-calls-{label}", "calls/s", compute_slow_start_rate(senders), size, "calm"
         )
-    found_down = max(1, len(times) + never)
-    yield _figure(f"never-noticed-{way}", "of relays", never / found_down, size, "outage")
-    yield _figure(f"delivered-after-return-{way}", "of messages", delivered_after_return(run), size, "outage")
 
 
-def _figure(
+def measure_limit(label: str, senders: int, size: int, seed: int) -> Iterator[Figure]:
+    simulation = run_limit_scenario(senders, seed)
+    yield _build_figure(
+        f"calls-refused-{label}", "of calls", compute_refused_fraction(simulation), size, "limit"
+    )
+    yield _build_figure(f"limit-used-{label}", "of the limit", compute_limit_used(simulation), size, "limit")
+    yield _build_figure(
+        f"limits-held-{label}", "times the true limit", compute_learned_limit_ratio(simulation), size, "limit"
+    )
+
+
+def measure_outage(label: str, senders: int, size: int, seed: int) -> Iterator[Figure]:
+    simulation = run_outage_scenario(senders, seed)
+    calls_into_outage = sum(call.outcome is Outcome.FAULT for call in simulation.calls)
+    notice_seconds, never_noticed = list_recovery_notice_times(simulation)
+    yield _build_figure(f"calls-into-outage-{label}", "calls", calls_into_outage, size, "outage")
+    if notice_seconds:
+        mean = sum(notice_seconds) / len(notice_seconds)
+        yield _build_figure(
+            f"return-noticed-after-{label}",
+            "s",
+            mean,
+            size,
+            "outage",
+            min(notice_seconds),
+            max(notice_seconds),
+            len(notice_seconds),
+        )
+    relays_that_found_it_down = max(1, len(notice_seconds) + never_noticed)
+    yield _build_figure(
+        f"never-noticed-{label}", "of relays", never_noticed / relays_that_found_it_down, size, "outage"
+    )
+    yield _build_figure(
+        f"delivered-after-return-{label}",
+        "of messages",
+        compute_delivered_after_return(simulation),
+        size,
+        "outage",
+    )
+
+
+def _build_figure(
     quantity: str,
     unit: str,
     value: float,
--- a/millweir/lab/scale/timing.py
+++ b/millweir/lab/scale/timing.py
@@ -1,6 +1,6 @@
-"""Repeats a step of a part and measures it: processor time, instructions; and memory of what a call builds.
+"""Measures a repeated step in processor time and in instructions, and the memory that a call allocates.
 
-A step is a function that is handed a meter and enters it for the part of its work that is measured.
+A step is a function that receives a meter, a context manager, and enters it round the work to be measured.
 """
 
 from __future__ import annotations
@@ -14,22 +14,22 @@
 from statistics import median
 from typing import TypeVar
 
-from millweir.lab.scale.guard import resident_memory
+from millweir.lab.scale.guard import get_resident_memory
 from millweir.lab.scale.measurement import Figure
 from millweir.lab.scale.steps import InstructionMeter
 
 Step = Callable[[AbstractContextManager], None]
 Built = TypeVar("Built")
 
-BATCHES = 7  # of repeats; each counts with its mean
-BATCH_TIME = 0.05  # processor seconds that a batch takes about
-BATCH_MOST = 40  # repeats in a batch
-COUNTED = 9  # repeats whose instructions are counted
+BATCH_COUNT = 7  # the mean of each batch is one repeat
+BATCH_SECONDS = 0.05  # approximate processor time of a batch
+MAX_BATCH_REPEATS = 40
+COUNTED_REPEATS = 9
 
 
 @dataclass(frozen=True, slots=True)
 class Spread:
-    """The median of repeats, with the least and the greatest of them."""
+    """Median, minimum and maximum of the repeats."""
 
     value: float
     low: float
@@ -44,13 +44,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Subject:
-    """What figures are about: the part measured, its size, and the trouble that it is in."""
+    """What figures are about: the measured part, its size, and the fault or load (`trouble`) it is under."""
 
     part: str
     size: int
     trouble: str = "calm"
 
-    def figure(self, quantity: str, unit: str, spread: Spread) -> Figure:
+    def build_figure(self, quantity: str, unit: str, spread: Spread) -> Figure:
         return Figure(
             part=self.part,
             quantity=quantity,
@@ -63,47 +63,47 @@
             repeats=spread.repeats,
         )
 
-    def timed(self, quantity: str, step: Step) -> Figure:
-        """Processor seconds that a step takes."""
-        return self.figure(quantity, "s", time_step(step))
+    def measure_time(self, quantity: str, step: Step) -> Figure:
+        """Measures the processor seconds of a step."""
+        return self.build_figure(quantity, "s", time_step(step))
 
-    def counted(self, quantity: str, step: Step) -> Figure:
-        """Instructions that a step takes."""
-        return self.figure(f"{quantity}-instructions", "instructions", count_step(step))
+    def measure_instructions(self, quantity: str, step: Step) -> Figure:
+        """Counts the instructions of a step."""
+        return self.build_figure(f"{quantity}-instructions", "instructions", count_step_instructions(step))
 
-    def memory(self, taken: int) -> Iterator[Figure]:
-        """Bytes in all, and for each thing held."""
-        yield self.figure("memory", "B", Spread.of([taken]))
-        yield self.figure("memory-each", "B", Spread.of([taken / self.size]))
+    def build_memory_figures(self, added_bytes: int) -> Iterator[Figure]:
+        """Yields the figures of total bytes and of bytes per object."""
+        yield self.build_figure("memory", "B", Spread.of([added_bytes]))
+        yield self.build_figure("memory-each", "B", Spread.of([added_bytes / self.size]))
 
 
 class Stopwatch:
-    """Adds up the processor time spent within its `with` blocks."""
+    """Sums the processor time spent within its `with` blocks."""
 
-    __slots__ = ("_began", "seconds")
+    __slots__ = ("_started_at", "seconds")
 
     def __init__(self) -> None:
         self.seconds = 0.0
-        self._began = 0.0
+        self._started_at = 0.0
 
     def __enter__(self) -> Stopwatch:
-        self._began = time.process_time()
+        self._started_at = time.process_time()
         return self
 
     def __exit__(self, *_: object) -> None:
-        self.seconds += time.process_time() - self._began
+        self.seconds += time.process_time() - self._started_at
 
 
 def time_step(step: Step) -> Spread:
-    """Processor seconds of one step; the garbage collector waits meanwhile."""
+    """Measures the processor seconds of one step, with the garbage collector disabled."""
     gc.collect()
     gc.disable()
     try:
         first = Stopwatch()
-        step(first)  # not counted: caches are cold
-        batch = max(1, min(BATCH_MOST, int(BATCH_TIME / max(first.seconds, 1e-9))))
+        step(first)  # not included: caches are cold
+        batch = max(1, min(MAX_BATCH_REPEATS, int(BATCH_SECONDS / max(first.seconds, 1e-9))))
         means = []
-        for _ in range(BATCHES):
+        for _ in range(BATCH_COUNT):
             watch = Stopwatch()
             for _ in range(batch):
                 step(watch)
@@ -113,20 +113,20 @@
     return Spread.of(means)
 
 
-def count_step(step: Step) -> Spread:
-    """Instructions of one step."""
+def count_step_instructions(step: Step) -> Spread:
+    """Counts the instructions of one step, repeatedly."""
     counts = []
-    for _ in range(COUNTED):
+    for _ in range(COUNTED_REPEATS):
         meter = InstructionMeter()
         step(meter)
-        counts.append(meter.counted)
+        counts.append(meter.count)
     return Spread.of(counts)
 
 
-def memory_of(build: Callable[[], Built]) -> tuple[int, Built]:
-    """Bytes of resident memory that a call adds, and what it returns."""
+def measure_added_memory(build: Callable[[], Built]) -> tuple[int, Built]:
+    """Returns the bytes of resident memory that a call adds, and its result."""
     gc.collect()
-    before = resident_memory(os.getpid())
+    before = get_resident_memory(os.getpid())
     built = build()
     gc.collect()
-    return resident_memory(os.getpid()) - before, built
+    return get_resident_memory(os.getpid()) - before, built
--- a/tests/configuration/test_configuration_scale.py
+++ b/tests/configuration/test_configuration_scale.py
@@ -23,6 +23,6 @@
 
 def test_a_run_over_the_memory_or_process_limit_is_not_started():
     with pytest.raises(LimitExceeded, match="MiB"):
-        next(measure(49, 1, Guard(memory_most=1 << 20)))
+        next(measure(49, 1, Guard(max_memory_bytes=1 << 20)))
     with pytest.raises(LimitExceeded, match="processes"):
-        next(measure(49, 1, Guard(memory_most=1 << 40, processes_most=3)))
+        next(measure(49, 1, Guard(max_memory_bytes=1 << 40, max_processes=3)))
--- a/tests/lab/test_scale_decisions.py
+++ b/tests/lab/test_scale_decisions.py
@@ -1,4 +1,4 @@
-"""Steps of the decisions do not grow with destinations, nor with messages held: instructions are counted."""
+"""The instruction counts of decision steps grow neither with the destinations nor with the messages held."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 from millweir.lab.scale import decisions, held, journal, timing
 from millweir.lab.scale.guard import Guard, LimitExceeded
 from millweir.lab.scale.measurement import Figure
-from millweir.lab.scale.steps import WalkedDict, count_instructions, walk_in_python
+from millweir.lab.scale.steps import PythonIteratedDict, count_instructions, make_iteration_countable
 from millweir.lab.scale.timing import Subject
 
 SIZES = (100, 1_000, 10_000)
 SEED = 3
-TOLERANCE = 1.05  # between sizes: destinations and times are drawn at random
-ROOM = 64 << 20  # bytes
+TOLERANCE = 1.05  # ratio between sizes; destinations and times are drawn at random
+MEMORY_LIMIT_BYTES = 64 << 20
 
 
-def grown(
+def find_grown_quantities(
     figures: Callable[[int], Iterable[Figure]],
     sizes: Sequence[int] = SIZES,
     tolerance: float = TOLERANCE,
 ) -> dict[str, list[float]]:
-    """By trouble and quantity, the values that have grown with the size, all of them where one has."""
+    """Returns, by trouble and quantity, the values of those quantities that vary by more than `tolerance`."""
     values = defaultdict(list)
     for size in sizes:
         for figure in figures(size):
@@ -34,51 +34,55 @@
     return {name: each for name, each in values.items() if max(each) > tolerance * min(each)}
 
 
-def test_steps_of_core_and_engine_take_as_many_instructions_whatever_is_listed():
+def test_core_and_engine_steps_do_not_grow_with_listed_destinations():
     def figures(size: int) -> Iterator[Figure]:
-        yield from decisions.count_core(Subject("decisions", size), SEED)
-        yield from decisions.count_engine(Subject("decisions", size), SEED)
+        yield from decisions.count_core_instructions(Subject("decisions", size), SEED)
+        yield from decisions.count_engine_instructions(Subject("decisions", size), SEED)
 
-    assert not grown(figures)
+    assert not find_grown_quantities(figures)
 
 
-@pytest.mark.parametrize("trouble, waiting", [("calm", 0.0), ("waits", 0.1)])
-def test_a_change_takes_the_network_code_as_many_instructions_whatever_is_listed(trouble, waiting):
+@pytest.mark.parametrize("trouble, waiting_fraction", [("calm", 0.0), ("waits", 0.1)])
+def test_applying_a_change_in_network_code_does_not_grow_with_listed_destinations(trouble, waiting_fraction):
     def figures(size: int) -> list[Figure]:
         subject = Subject("decisions", size, trouble)
-        return asyncio.run(decisions.count_relay(subject, SEED, int(size * waiting)))
+        return asyncio.run(decisions.count_relay_instructions(subject, SEED, int(size * waiting_fraction)))
 
-    assert not grown(figures)
+    assert not find_grown_quantities(figures)
 
 
-def test_steps_take_as_many_instructions_whatever_is_held():
+def test_steps_do_not_grow_with_held_messages():
     def figures(size: int) -> Iterator[Figure]:
-        core = held.waiting_core(size, SEED)
-        yield from held.count_steps(Subject("held", size), core, held.calm_steps)
+        core = held.build_waiting_core(size, SEED)
+        yield from held.count_step_instructions(Subject("held", size), core, held.build_calm_steps)
 
-    assert not grown(figures)
+    assert not find_grown_quantities(figures)
 
 
-def test_a_slot_that_comes_free_takes_as_many_instructions_whatever_waits_for_it():
-    # From 64 destinations on: as many are weighed again at once.
-    sizes = [destinations * held.EACH for destinations in (100, 400, 2_000)]
+def test_filling_a_freed_slot_does_not_grow_with_held_messages():
+    # All sizes have over 64 destinations, the most that are re-evaluated at once.
+    sizes = [destinations * held.MESSAGES_PER_DESTINATION for destinations in (100, 400, 2_000)]
 
     def figures(size: int) -> Iterator[Figure]:
-        core = held.saturated_core(size, SEED)
-        yield from held.count_steps(Subject("held", size, "saturated"), core, held.saturated_steps)
+        core = held.build_saturated_core(size, SEED)
+        yield from held.count_step_instructions(
+            Subject("held", size, "saturated"), core, held.build_saturated_steps
+        )
 
-    assert not grown(figures, sizes, tolerance=1.3)  # what is weighed again at the front differs by chance
+    assert not find_grown_quantities(
+        figures, sizes, tolerance=1.3
+    )  # how many candidates are re-evaluated varies at random
 
 
-def test_the_instructions_of_a_walk_are_counted_even_where_it_is_made_by_the_interpreter():
+def test_iteration_inside_the_interpreter_is_counted():
     class Owner:
         def __init__(self, size: int) -> None:
             self.table = dict.fromkeys(range(size), 1)
 
-    def walks(size: int) -> list[int]:
+    def count_iteration_instructions(size: int) -> list[int]:
         owner = Owner(size)
-        walk_in_python(owner)
-        assert type(owner.table) is WalkedDict
+        make_iteration_countable(owner)
+        assert type(owner.table) is PythonIteratedDict
         return [
             count_instructions(call)
             for call in (
@@ -89,15 +93,18 @@
             )
         ]
 
-    assert all(many > 5 * few for few, many in zip(walks(10), walks(100), strict=True))
-    assert walks(10) == walks(10)
+    assert all(
+        many > 5 * few
+        for few, many in zip(count_iteration_instructions(10), count_iteration_instructions(100), strict=True)
+    )
+    assert count_iteration_instructions(10) == count_iteration_instructions(10)
 
 
-def test_every_quantity_comes_with_its_unit_and_spread(monkeypatch):
-    monkeypatch.setattr(timing, "BATCH_MOST", 1)
-    guard = Guard(memory_most=1 << 40)
+def test_every_quantity_has_a_unit_and_a_spread(monkeypatch):
+    monkeypatch.setattr(timing, "MAX_BATCH_REPEATS", 1)
+    guard = Guard(max_memory_bytes=1 << 40)
     for part in (decisions, held, journal):
-        monkeypatch.setattr(part, "MEMORY_TOTAL", 100, raising=False)
+        monkeypatch.setattr(part, "MIN_MEMORY_OBJECTS", 100, raising=False)
         figures = list(part.measure(100, SEED, guard))
         names = [(figure.trouble, figure.quantity) for figure in figures]
         assert len(set(names)) == len(names)
@@ -106,6 +113,6 @@
 
 
 @pytest.mark.parametrize("part", [decisions, held, journal])
-def test_a_size_that_would_take_too_much_is_not_begun(part):
+def test_a_size_over_the_memory_limit_is_not_started(part):
     with pytest.raises(LimitExceeded):
-        next(part.measure(1_000_000, SEED, Guard(memory_most=ROOM)))
+        next(part.measure(1_000_000, SEED, Guard(max_memory_bytes=MEMORY_LIMIT_BYTES)))
--- a/tests/lab/test_scale_frame.py
+++ b/tests/lab/test_scale_frame.py
@@ -1,4 +1,4 @@
-"""The frame of the scale tests: records that are read back, limits that stop a run."""
+"""The infrastructure of the scale tests: stored records, resource limits and the command."""
 
 from __future__ import annotations
 
@@ -18,37 +18,38 @@
     read_measurements,
 )
 
-FIGURE = Figure(part="decisions", quantity="memory", unit="B", size=10, value=2.0, low=1.0, high=3.0)
+EXAMPLE_FIGURE = Figure(part="decisions", quantity="memory", unit="B", size=10, value=2.0, low=1.0, high=3.0)
 
 
-def measured(size, seed, guard):
-    """Stands in for a part."""
+def fake_measure(size, seed, guard):
+    """Fake `measure` function of a part."""
     guard.check_plan(memory=size, processes=1)
-    yield FIGURE
+    yield EXAMPLE_FIGURE
 
 
 @pytest.fixture
-def a_part(monkeypatch):
-    monkeypatch.setattr(parts, "load_part", lambda name: measured)
+def fake_part(monkeypatch):
+    monkeypatch.setattr(parts, "load_part", lambda name: fake_measure)
 
 
 def test_measurements_are_read_back_in_the_order_of_files_and_lines(tmp_path):
-    given = [
-        Measurement(figure=FIGURE, command="c", seed=seed, commit="abc", machine="m") for seed in range(3)
+    measurements = [
+        Measurement(figure=EXAMPLE_FIGURE, command="c", seed=seed, commit="abc", machine="m")
+        for seed in range(3)
     ]
-    append_measurements(tmp_path / "b.jsonl", given[1:])
-    append_measurements(tmp_path / "a.jsonl", given[:1])
-    assert list(read_measurements(tmp_path)) == given
+    append_measurements(tmp_path / "b.jsonl", measurements[1:])
+    append_measurements(tmp_path / "a.jsonl", measurements[:1])
+    assert list(read_measurements(tmp_path)) == measurements
 
 
-def test_a_line_that_is_no_measurement_is_named(tmp_path):
+def test_an_undecodable_line_is_reported_with_file_and_line(tmp_path):
     (tmp_path / "a.jsonl").write_text('{"figure": 3}\n')
     with pytest.raises(UnreadableMeasurements, match=r"a\.jsonl, line 1"):
         list(read_measurements(tmp_path))
 
 
-def test_a_plan_beyond_the_limits_is_refused():
-    guard = Guard(memory_most=1 << 20, processes_most=3)
+def test_a_plan_over_the_limits_is_rejected():
+    guard = Guard(max_memory_bytes=1 << 20, max_processes=3)
     guard.check_plan(memory=1 << 20, processes=3)
     with pytest.raises(LimitExceeded, match="2 MiB"):
         guard.check_plan(memory=2 << 20, processes=3)
@@ -56,30 +57,30 @@
         guard.check_plan(memory=0, processes=4)
 
 
-def test_a_run_that_holds_too_much_is_stopped():
-    taken = Guard.for_this_machine().check()
-    assert taken > 0
+def test_a_run_over_the_memory_limit_is_stopped():
+    resident_bytes = Guard.for_this_machine().check()
+    assert resident_bytes > 0
     with pytest.raises(LimitExceeded):
-        Guard(memory_most=taken // 2).check()
+        Guard(max_memory_bytes=resident_bytes // 2).check()
     with pytest.raises(LimitExceeded):
-        Guard(memory_most=taken * 3 // 2).check(children=(os.getpid(),))
+        Guard(max_memory_bytes=resident_bytes * 3 // 2).check(children=(os.getpid(),))
 
 
-def test_the_command_writes_what_it_measured(tmp_path, a_part):
+def test_the_command_writes_its_measurements(tmp_path, fake_part):
     out = tmp_path / "figures.jsonl"
-    done = CliRunner().invoke(lab, ["scale", "decisions", "--size", "10", "--seed", "7", "--out", str(out)])
-    assert done.exit_code == 0, done.output
-    (found,) = read_measurements(tmp_path)
-    assert found.figure == FIGURE
-    assert found.command == "millweir lab scale decisions --size 10 --seed 7"
-    assert found.seed == 7
+    result = CliRunner().invoke(lab, ["scale", "decisions", "--size", "10", "--seed", "7", "--out", str(out)])
+    assert result.exit_code == 0, result.output
+    (measurement,) = read_measurements(tmp_path)
+    assert measurement.figure == EXAMPLE_FIGURE
+    assert measurement.command == "millweir lab scale decisions --size 10 --seed 7"
+    assert measurement.seed == 7
 
 
-def test_the_command_says_where_it_stopped_itself(a_part):
-    done = CliRunner().invoke(lab, ["scale", "decisions", "--size", str(1 << 60)])
-    assert done.exit_code == 1
-    assert "stopped: expected to take" in done.output
+def test_the_command_reports_an_exceeded_limit(fake_part):
+    result = CliRunner().invoke(lab, ["scale", "decisions", "--size", str(1 << 60)])
+    assert result.exit_code == 1
+    assert "stopped: expected to take" in result.output
 
 
-def test_an_unknown_part_is_wrong_use():
+def test_an_unknown_part_is_a_usage_error():
     assert CliRunner().invoke(lab, ["scale", "nonsense", "--size", "1"]).exit_code == 2
--- a/tests/lab/test_scale_register.py
+++ b/tests/lab/test_scale_register.py
@@ -1,4 +1,4 @@
-"""Scale of the register: what grows with the owners, in counts of entries, messages and bytes."""
+"""Scale of the replicated store: growth with the owners, in counts of entries, messages and bytes."""
 
 from __future__ import annotations
 
@@ -9,53 +9,53 @@
 from millweir.lab.scale.guard import Guard, LimitExceeded
 from millweir.lab.scale.register import (
     CHANGES_PER_ENTRY,
-    RENEWAL_INTERVAL,
+    RENEWAL_INTERVAL_NS,
     Ownership,
     OwnershipChanges,
     Quorum,
-    assignment,
-    assignment_change,
-    change_values,
+    build_assignment_change,
+    build_assignment_version,
+    build_owner_names,
+    count_lost_owners_by_trouble,
     encode,
-    lost_by_trouble,
     measure,
-    owner_names,
-    renewal_values,
+    measure_changes,
+    measure_renewals,
 )
 from millweir.store.core import SECOND
 
-SMALL = 20
-LARGE = 80
-GROWTH = LARGE / SMALL
+SMALL_SIZE = 20
+LARGE_SIZE = 80
+SIZE_RATIO = LARGE_SIZE / SMALL_SIZE
 SEED = 5
-BEATS_SECOND = 8  # a heartbeat every 125 ms
+HEARTBEATS_PER_SECOND = 8  # one every 125 ms
 
 
-def counts(design, size):
-    """Quantity -> value, without the design's name and without times."""
-    values = renewal_values(design, size, SEED)
+def measure_counts(design, size):
+    """Returns the value of each quantity, without the design's name as a prefix."""
+    values = measure_renewals(design, size, SEED)
     return {quantity.removeprefix(f"{design}-"): value for (quantity, _), value in values.items()}
 
 
 @pytest.fixture(scope="module")
 def logged():
-    return counts("logged", SMALL), counts("logged", LARGE)
+    return measure_counts("logged", SMALL_SIZE), measure_counts("logged", LARGE_SIZE)
 
 
 @pytest.fixture(scope="module")
 def leased():
-    return counts("leased", SMALL), counts("leased", LARGE)
+    return measure_counts("leased", SMALL_SIZE), measure_counts("leased", LARGE_SIZE)
 
 
 def test_each_logged_renewal_is_one_entry(logged):
-    for size, values in zip((SMALL, LARGE), logged, strict=True):
-        assert values["entries-second"] == pytest.approx(size / (RENEWAL_INTERVAL / SECOND))
+    for size, values in zip((SMALL_SIZE, LARGE_SIZE), logged, strict=True):
+        assert values["entries-second"] == pytest.approx(size / (RENEWAL_INTERVAL_NS / SECOND))
         assert values["renewals-refused"] == 0
 
 
-def test_logged_renewals_write_in_proportion_to_the_owners(logged):
+def test_logged_renewals_write_bytes_in_proportion_to_the_owners(logged):
     small, large = logged
-    assert large["written-bytes-second"] / small["written-bytes-second"] == pytest.approx(GROWTH, rel=0.1)
+    assert large["written-bytes-second"] / small["written-bytes-second"] == pytest.approx(SIZE_RATIO, rel=0.1)
 
 
 def test_leased_renewals_write_nothing(leased):
@@ -64,53 +64,59 @@
         assert values["written-bytes-second"] == 0
 
 
-def test_a_leased_renewal_costs_the_leader_two_messages_and_the_followers_none(leased):
+def test_a_leased_renewal_takes_two_messages_at_the_leader_and_none_at_followers(leased):
     small, large = leased
-    more_owners = (LARGE - SMALL) / (RENEWAL_INTERVAL / SECOND)
-    rounds = 4 * BEATS_SECOND * 2  # words and answers of one confirmation a heartbeat, at the most
-    more = large["leader-messages-second"] - small["leader-messages-second"]
-    assert 2 * more_owners <= more <= 2 * more_owners + rounds
+    added_renewals_per_second = (LARGE_SIZE - SMALL_SIZE) / (RENEWAL_INTERVAL_NS / SECOND)
+    # Messages and responses of one confirmation per heartbeat, at most.
+    max_round_messages = 4 * HEARTBEATS_PER_SECOND * 2
+    added_messages = large["leader-messages-second"] - small["leader-messages-second"]
+    assert (
+        2 * added_renewals_per_second <= added_messages <= 2 * added_renewals_per_second + max_round_messages
+    )
     for values in leased:
-        assert values["follower-messages-second"] <= 2 * 2 * BEATS_SECOND
+        assert values["follower-messages-second"] <= 2 * 2 * HEARTBEATS_PER_SECOND
 
 
-def test_an_owner_pays_the_same_in_any_fleet(logged, leased):
+def test_bytes_per_owner_do_not_depend_on_the_size(logged, leased):
     for small, large in (logged, leased):
         assert large["owner-bytes-second"] == pytest.approx(small["owner-bytes-second"], rel=0.05)
 
 
 def test_the_same_seed_gives_the_same_counts(leased):
-    again = counts("leased", SMALL)
-    for quantity, value in again.items():
+    repeated = measure_counts("leased", SMALL_SIZE)
+    for quantity, value in repeated.items():
         if "processor" not in quantity:
             assert value == leased[0][quantity], quantity
 
 
-def test_lost_owners_go_over_in_entries_of_many():
+def test_lost_owners_are_reassigned_in_batched_entries():
     for lost in (1, CHANGES_PER_ENTRY, CHANGES_PER_ENTRY + 1):
-        values = change_values(2 * CHANGES_PER_ENTRY, SEED, lost)
+        values = measure_changes(2 * CHANGES_PER_ENTRY, SEED, lost)
         assert values["change-entries", "entries"] == math.ceil(lost / CHANGES_PER_ENTRY)
         assert 0 < values["change-commit-time", "s"] < 1
 
 
-def test_the_committed_changes_are_applied_at_every_voter():
-    quorum = Quorum(SEED, owner_names(SMALL))
+def test_committed_changes_are_applied_at_every_voter():
+    quorum = Quorum(SEED, build_owner_names(SMALL_SIZE))
     leader = quorum.leader
     changes = OwnershipChanges((Ownership("relay-00003", "relay-00004", 2),))
-    quorum.drive(leader, lambda: leader.core.propose(quorum.now, encode(changes)))
+    quorum.call_core(leader, lambda: leader.core.propose(quorum.now, encode(changes)))
     quorum.run_until(quorum.now + SECOND)
     for voter in quorum.voters.values():
         assert voter.table.ownerships["relay-00003"].holder == "relay-00004"
 
 
-def test_an_assignment_grows_by_the_relays_names_and_a_zone_moves_its_part():
-    small, large = (len(encode(assignment(size))) for size in (1_000, 4_000))
-    name = len("relay-00000") + 1
-    assert large - small == 3_000 * name
-    by_zone = [len(encode(assignment_change(size, lost_by_trouble(size)["zone"]))) for size in (1_100, 4_400)]
-    assert by_zone[1] == pytest.approx(by_zone[0], rel=0.01)
+def test_an_assignment_grows_by_the_relay_names_and_a_lost_zone_moves_a_constant_size():
+    small, large = (len(encode(build_assignment_version(size))) for size in (1_000, 4_000))
+    name_bytes = len("relay-00000") + 1
+    assert large - small == 3_000 * name_bytes
+    zone_change_bytes = [
+        len(encode(build_assignment_change(size, count_lost_owners_by_trouble(size)["zone"])))
+        for size in (1_100, 4_400)
+    ]
+    assert zone_change_bytes[1] == pytest.approx(zone_change_bytes[0], rel=0.01)
 
 
-def test_a_run_that_would_take_too_much_does_not_start():
+def test_a_run_over_the_memory_limit_does_not_start():
     with pytest.raises(LimitExceeded):
-        next(measure(1_000, SEED, Guard(memory_most=1 << 20)))
+        next(measure(1_000, SEED, Guard(max_memory_bytes=1 << 20)))
--- a/tests/test_list_changes.py
+++ b/tests/test_list_changes.py
@@ -10,7 +10,7 @@
 
 from millweir.control import FORGET_HOST_AFTER_NS
 from millweir.interface import SECOND, Change, Entry, Outcome, Phase
-from millweir.lab.scale.steps import count_instructions, walk_in_python
+from millweir.lab.scale.steps import count_instructions, make_iteration_countable
 
 DESTINATIONS = 4
 HOSTS_EACH = 4
@@ -143,7 +143,7 @@
     """Count the instructions of one update of each kind, with so many destinations in the list."""
     rig = Rig(entries=[Entry(b"host-%d" % n, 0, 0, n, Phase.READY, 4.0) for n in range(size)])
     rig.relay.end_round(rig.now)
-    walk_in_python(rig.relay)
+    make_iteration_countable(rig.relay)
     steps = []
     for phase in (Phase.GONE, Phase.READY, Phase.DRAINING, Phase.GONE, None):
         rows = (Entry(b"host-7", 0, 0, 7, phase, 4.0),) if phase else ()
@@ -162,7 +162,7 @@
     """Count the instructions of the end of a call lost on an idle connection, among so many destinations."""
     rig = Rig(entries=[Entry(b"host-%d" % n, 0, 1, n, Phase.READY, 4.0) for n in range(size)])
     rig.relay.end_round(rig.now)
-    walk_in_python(rig.relay)
+    make_iteration_countable(rig.relay)
     for outcome in (Outcome.FULFILLED, Outcome.CUT_OFF):
         rig.add_packet(0, 7)
         rig.relay.end_round(rig.now)
