--- a/millweir/net/clients.py
+++ b/millweir/net/clients.py
@@ -12,8 +12,9 @@
 from millweir.net.heads import Request, RequestReader, encode_response
 from millweir.net.log import Log
 
-# Requests of one connection that may wait for their response, in turns of the relay's work loop (`max_requests_per_turn`
-# requests each); a connection with more is aborted as a flood, which bounds the request queue.
+# Requests of one connection that may wait for their response, in turns of the relay's work loop
+# (`max_requests_per_turn` requests each); a connection with more is aborted as a flood, which bounds the
+# request queue.
 MAX_PENDING_TURNS = 4
 
 
--- a/tests/net/inside.py
+++ b/tests/net/inside.py
@@ -119,7 +119,7 @@
 
 
 class InProcessRelay:
-    """One relay: `server` gives access to its components, `server_task` is done when its process would end."""
+    """One relay: `server` gives access to its components, `server_task` ends when its process would."""
 
     def __init__(self, platform, folder, monkeypatch, config, **bounds):
         self.platform = platform
