--- a/millweir/control.py
+++ b/millweir/control.py
@@ -144,36 +144,39 @@
         self._max_open = settings.max_open
         self._max_trips = settings.max_trips
         self._margin = 2 * settings.period
-        self._max_batch = settings.bundle_max
-        self._per_host_kinds = {kind for kind, own in enumerate(settings.apart) if own}
+        self._max_batch = settings.max_batch_packets
+        self._per_host_kinds = {kind for kind, own in enumerate(settings.has_own_limit) if own}
         self._tenant_quotas = [tenant.quota / self._relay_count for tenant in settings.tenants]
         self._tenant_buckets = [(quota, now) for quota in self._tenant_quotas]
         # Positions of the remaining fraction and of the limit in a host's report.
         self._remaining_field, self._limit_field = (
-            settings.reports.index(name) if name in settings.reports else None for name in ("x0", "x1")
+            settings.report_fields.index(name) if name in settings.report_fields else None
+            for name in ("x0", "x1")
         )
         self._drain_grace = settings.drain_grace - self._margin
         self._slow_connect_time = settings.connect_timeout // 2
-        self._key_quiet_time = settings.key_quiet
-        self._fall_time = settings.fall_time
+        self._key_quiet_time = settings.key_quiet_period
+        self._recovery_window = settings.recovery_window
         self._min_limit_factor = (
-            MIN_LIMIT_FACTOR if settings.rates_rough else MIN_LIMIT_FACTOR * EXACT_RATE_FACTOR
+            MIN_LIMIT_FACTOR if settings.rates_approximate else MIN_LIMIT_FACTOR * EXACT_RATE_FACTOR
         )
         self._zone = settings.zone
         self._rates_listed = settings.rates_listed
         self._max_retry_after = settings.max_wait
         self._target_latency = min((p.target_latency for p in settings.profiles), default=SECOND)
         self._profiles = [
-            (p, ValueCurve(p, self._target_latency, settings.halves)) for p in settings.profiles
+            (p, ValueCurve(p, self._target_latency, settings.value_halves)) for p in settings.profiles
         ]
         self._slow_start = SlowStart(settings, rng.random, now)
-        self._watch_retry_limit = settings.must_ask_in // 4 if settings.must_ask else 0
+        self._watch_retry_limit = settings.host_list_poll_interval // 4 if settings.polls_host_list else 0
         # Fees are given as fractions of the mean value of a packet.
         mean_value = sum(p.value for p in settings.profiles) / max(1, len(settings.profiles))
-        self._fees = {zone: fee * mean_value for zone, fee in enumerate(settings.fees) if any(settings.fees)}
+        self._fees = {
+            zone: fee * mean_value for zone, fee in enumerate(settings.zone_fees) if any(settings.zone_fees)
+        }
         self._may_cancel = settings.cancel
-        self._allows_second_copies = settings.second_copies
-        self._over_quota_factor = settings.over_share
+        self._allows_second_copies = settings.allow_second_copies
+        self._over_quota_factor = settings.over_quota_value
         # Nothing is known yet of stale connections, of packets lost on them, or of full connection tables.
         self._stale_idle_time = NEVER
         self._stale_idle_time_at = -NEVER
@@ -192,7 +195,7 @@
         self._stop_at = NEVER
         self._failed_watches = 0
         self.refusal_reason = RefusalReason.NONE  # of the last call of check_admission
-        if settings.must_ask:
+        if settings.polls_host_list:
             port.request_host_list()
 
     def pop_transition(self) -> HostTransition | None:
@@ -316,7 +319,7 @@
         New profiles are appended, so packets in flight keep theirs; a lower limit of trips holds at once.
         """
         self._profiles += [
-            (p, ValueCurve(p, self._target_latency, settings.halves)) for p in settings.profiles
+            (p, ValueCurve(p, self._target_latency, settings.value_halves)) for p in settings.profiles
         ]
         self._max_trips = settings.max_trips
 
@@ -737,7 +740,7 @@
             scope.increased_at = NEVER  # no increase until a call has succeeded
             # A long retry-after means that the destination is down; much of the limit unused, twice in a row,
             # that it hangs.
-            sparse = host.destination.accepted_count * self._fall_time < self._now - self._started_at
+            sparse = host.destination.accepted_count * self._recovery_window < self._now - self._started_at
             if wait > 2 * AIMD_INTERVAL_NS or remaining > UNUSED_LIMIT_FRACTION and sparse:
                 weight = EJECTION_LOG_ODDS if wait > 2 * AIMD_INTERVAL_NS else EJECTION_LOG_ODDS / 2
                 cause = "long retry-after or unused limit"
--- a/millweir/interface.py
+++ b/millweir/interface.py
@@ -94,22 +94,22 @@
     in_order: bool  # packets with the same key are sent one at a time, in order
     kinds: frozenset[int] = frozenset()  # kinds of hosts that may be used; empty: all
 
-    def value_fraction(self, halves: bool, late: int) -> float:
+    def value_fraction(self, value_halves: bool, late: int) -> float:
         """The fraction of its value that a packet has left when it is delivered so late.
 
-        `halves`: the value halves with each target latency that passes; else it falls linearly.
+        `value_halves`: the value halves with each target latency that passes; else it falls linearly.
         """
         room = self.lifetime - self.target_latency
         if late <= 0 or late >= room:
             return float(late <= 0)
-        if halves:
+        if value_halves:
             return max(self.value_floor, 0.5 ** (late / self.target_latency))
         return 1 - (1 - self.value_floor) * late / room
 
-    def breakpoints(self, halves: bool) -> list[int]:
+    def breakpoints(self, value_halves: bool) -> list[int]:
         """The latenesses at which the value curve jumps or bends."""
         breakpoints = [1, self.lifetime - self.target_latency]
-        if halves and 0 < self.value_floor < 1:
+        if value_halves and 0 < self.value_floor < 1:
             breakpoints.append(int(self.target_latency * -log2(self.value_floor)))
         return breakpoints
 
@@ -141,24 +141,25 @@
     max_retry_after: int
     idle_close: int  # after which hosts close an idle connection
     connect_timeout: int
-    halves: bool  # a late packet's value halves with each target latency; else it falls linearly
-    second_copies: bool  # a packet may be sent again while an earlier trip may still be running
-    bundle_max: tuple[int, ...]  # packets in one batch, by kind of host
-    apart: tuple[bool, ...]  # by kind of host: each host has a rate limit of its own
-    over_share: float  # the fraction of its value that a packet beyond its tenant's quota has
-    must_ask: bool  # the host list is sent on request only
-    must_ask_in: int  # the longest time between two such requests
+    value_halves: bool  # a late packet's value halves with each target latency; else it falls linearly
+    allow_second_copies: bool  # a packet may be sent again while an earlier trip may still be running
+    max_batch_packets: tuple[int, ...]  # packets in one batch, by kind of host
+    has_own_limit: tuple[bool, ...]  # by kind of host: each host has a rate limit of its own
+    over_quota_value: float  # the fraction of its value that a packet beyond its tenant's quota has
+    polls_host_list: bool  # the host list is sent on request only
+    host_list_poll_interval: int  # the longest time between two such requests
     rates_listed: bool  # the host list names the hosts' rate limits
-    rates_rough: bool  # those limits are approximate
-    reports: tuple[str, ...]  # names of the fields of a host's load report
+    rates_approximate: bool  # those limits are approximate
+    report_fields: tuple[str, ...]  # names of the fields of a host's load report
     drain_grace: int  # for which a draining or removed host may still be sent calls
     answer_slack: int  # by which a final outcome may come after the deadline
-    fall_multiple: float  # calls to a recovering host within the fall time, as a multiple of its capacity
-    fall_time: int  # the window in which the calls to a recovering host are counted
-    cold_from: float  # capacity of a host at the start of its recovery, as a fraction
-    cold_time: int  # until a recovering host has its full capacity
-    key_quiet: int  # quiet period of a key after a trip that may still be running
-    fees: tuple[float, ...]  # by zone: of a trip to a host with its own rate limit, in mean packet values
+    recovery_multiple: float  # calls to a recovering host within the window, as a multiple of its capacity
+    recovery_window: int  # the window in which the calls to a recovering host are counted
+    initial_capacity: float  # capacity of a host at the start of its recovery, as a fraction
+    recovery_time: int  # until a recovering host has its full capacity
+    key_quiet_period: int  # quiet period of a key after a trip that may still be running
+    # By zone: the fee of a trip to a host with its own rate limit, in mean packet values.
+    zone_fees: tuple[float, ...]
 
     @property
     def max_wait(self) -> int:
--- a/millweir/net/desk.py
+++ b/millweir/net/desk.py
@@ -53,7 +53,7 @@
         self._tenant_numbers = {
             tenant.name.encode(): number for number, tenant in enumerate(settings.tenants)
         }
-        self._load_metrics = settings.reports
+        self._load_metrics = settings.report_fields
         self._discovery_address = config.discovery
         self._owed: dict[bytes, OwedMessage] = {}
         self._backlog: deque[OwedMessage] = deque()  # owed but not submitted to the engine yet, oldest first
--- a/millweir/order.py
+++ b/millweir/order.py
@@ -20,12 +20,16 @@
 class ValueCurve:
     """What a delay costs a packet, as a fraction of its value, by its lateness in nanoseconds."""
 
-    def __init__(self, profile: Profile, span: int, halves: bool) -> None:
-        """`span`: the delay that is weighed; `halves`: value halves with each target latency that passes."""
+    def __init__(self, profile: Profile, span: int, value_halves: bool) -> None:
+        """Derive the curve of a profile.
+
+        `span`: the delay that is weighed; `value_halves`: the value halves with each target latency that
+        passes.
+        """
         self.kinds, self.allows_trials = profile.kinds, profile.effect is not Effect.NON_IDEMPOTENT
-        self.value_fraction, self._span = partial(profile.value_fraction, halves), span
+        self.value_fraction, self._span = partial(profile.value_fraction, value_halves), span
         starts = sorted(
-            {-NEVER, NEVER, *(point - at for point in profile.breakpoints(halves) for at in (0, span))}
+            {-NEVER, NEVER, *(point - at for point in profile.breakpoints(value_halves) for at in (0, span))}
         )
         # Each piece: its first and last lateness, and whether the latest packet in it loses most.
         self._pieces = [
--- a/millweir/slow_start.py
+++ b/millweir/slow_start.py
@@ -1,8 +1,9 @@
 """Outlier ejection and slow start: when a host is ejected, how it is probed, how its load grows again.
 
 Guards rule 4: a recovering host is not overloaded.  The settings call a recovering host cold.  The
-operators allow all relays together N calls to it within the fall time, N growing with its capacity, plus what
-chance explains.  Relays share no state, so each keeps to its part of N, and the parts of all add up to N.
+operators allow all relays together N calls to it within the recovery window, N growing with its capacity,
+plus what chance explains.  Relays share no state, so each keeps to its part of N, and the parts of all add up
+to N.
 
 Ejecting a host needs evidence from several calls, but from the first failed call on no relay may send it more
 than its part.  So a host has four states:
@@ -35,7 +36,7 @@
 REFUSALS_PER_FAILURE = 3  # refusals in a row that count as a failed call
 EJECTION_LOG_ODDS = 4.6  # a hundred to one
 MIN_USE_WINDOW_NS = 5 * SECOND  # a shorter time since the start says little about the use of a destination
-CONFIRM_DIVISOR = 4  # a suspicion is confirmed or dropped within this fraction of the fall time
+CONFIRM_DIVISOR = 4  # a suspicion is confirmed or dropped within this fraction of the recovery window
 MAX_PENDING_TRANSITIONS = 1024  # state changes that the log has not picked up yet
 MAX_FORGOTTEN_HOSTS = 4096  # recovering hosts that left the list long ago; the oldest is dropped first
 
@@ -67,13 +68,15 @@
         """`random_fraction` draws evenly from 0 to 1; `started_at`: when the process started."""
         self._random_fraction = random_fraction
         self._started_at = started_at
-        self._fall_time = settings.fall_time or SECOND
-        self._confirm_time = self._fall_time // CONFIRM_DIVISOR
-        self._recovery_time = settings.cold_time
+        self._recovery_window = settings.recovery_window or SECOND
+        self._confirm_time = self._recovery_window // CONFIRM_DIVISOR
+        self._recovery_time = settings.recovery_time
         # The part of a relay's own use that it may send at first; all of it where no such rule is set.
-        self.slow_start_share = min(1.0, settings.fall_multiple * settings.cold_from) or 1.0
+        self.slow_start_share = min(1.0, settings.recovery_multiple * settings.initial_capacity) or 1.0
         self._linear_growth = (
-            (1 - settings.cold_from) / (settings.cold_from or 1.0) / max(1, settings.cold_time)
+            (1 - settings.initial_capacity)
+            / (settings.initial_capacity or 1.0)
+            / max(1, settings.recovery_time)
         )  # per nanosecond
         self.transitions: deque[HostTransition] = deque(maxlen=MAX_PENDING_TRANSITIONS)  # newest last
         self.changes = 0  # number of changes to the result of `list_recovering_hosts`
@@ -142,7 +145,10 @@
         self.changes += 1
         if host.limit_scope.retry_after_until > now:
             self._spread_after_wait(host, now)
-        if host.consecutive_refusals >= REFUSALS_PER_FAILURE and now - host.last_success_at > self._fall_time:
+        if (
+            host.consecutive_refusals >= REFUSALS_PER_FAILURE
+            and now - host.last_success_at > self._recovery_window
+        ):
             self.record_failure(host, FAILURE_LOG_ODDS, "refused again and again", now, call)
 
     def record_sibling_failures(
@@ -223,7 +229,8 @@
         if elapsed >= self._recovery_time:
             return 0
         growth = min(
-            2 ** (elapsed / self._fall_time), 1 + self._linear_growth * (elapsed + self._fall_time // 4)
+            2 ** (elapsed / self._recovery_window),
+            1 + self._linear_growth * (elapsed + self._recovery_window // 4),
         )
         next_at = host.last_call_at + int(SECOND / (host.slow_start_rate * growth))
         return next_at if host.recovered_at else max(next_at, self._next_sibling_trial_at(host))
@@ -262,7 +269,7 @@
 
     def recheck_at(self, host: Host, now: int) -> int:
         """When to check a limited host again: its rate grows meanwhile."""
-        return now + self._fall_time // 32 if host.slow_start_rate else 1 << 62
+        return now + self._recovery_window // 32 if host.slow_start_rate else 1 << 62
 
     @staticmethod
     def _last_call_failed(host: Host) -> bool:
@@ -300,7 +307,7 @@
         """Whether the host answered too soon after its first failure for an outage to have ended."""
         confirm_end = host.suspected_at + self._confirm_time
         if now <= confirm_end:
-            return now - call.sent_at <= self._fall_time  # a slower call has been hanging all that time
+            return now - call.sent_at <= self._recovery_window  # a slower call has been hanging all that time
         return host.suspected_at <= call.sent_at <= confirm_end and not call.is_overdue
 
     def _mark_healthy(self, host: Host, cause: str) -> None:
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -63,24 +63,24 @@
         "max_retry_after": 2 * SECOND,
         "idle_close": 10 * SECOND,
         "connect_timeout": SECOND,
-        "halves": True,
-        "bundle_max": (5, 1),
-        "apart": (False, True),
-        "over_share": 0.1,
-        "must_ask": False,
-        "second_copies": True,
-        "must_ask_in": 0,
+        "value_halves": True,
+        "max_batch_packets": (5, 1),
+        "has_own_limit": (False, True),
+        "over_quota_value": 0.1,
+        "polls_host_list": False,
+        "allow_second_copies": True,
+        "host_list_poll_interval": 0,
         "rates_listed": True,
-        "rates_rough": False,
-        "reports": (),
+        "rates_approximate": False,
+        "report_fields": (),
         "drain_grace": SECOND,
         "answer_slack": 20 * MILLISECOND,
-        "fall_multiple": 2.0,
-        "fall_time": 2 * SECOND,
-        "cold_from": 0.2,
-        "cold_time": 10 * SECOND,
-        "key_quiet": 300 * MILLISECOND,
-        "fees": (),
+        "recovery_multiple": 2.0,
+        "recovery_window": 2 * SECOND,
+        "initial_capacity": 0.2,
+        "recovery_time": 10 * SECOND,
+        "key_quiet_period": 300 * MILLISECOND,
+        "zone_fees": (),
     }
     return Settings(**(base | given))
 
@@ -140,7 +140,7 @@
             ), "sent again after its deduplication window"
             same_zone = not packet.profile.dedup_per_zone or host.zone == risky[0].host.zone
             assert same_zone, "sent again in a zone that does not detect the repeat"
-        if not self.settings.second_copies:
+        if not self.settings.allow_second_copies:
             assert all(s.outcome for s in trips), "two trips at once"
             for lost in (s for s in trips if s.outcome in (Outcome.TIMED_OUT, Outcome.CANCELLED)):
                 assert any(
@@ -197,7 +197,7 @@
     # Events reported to the relay.
 
     def limit_scope(self, host):
-        return host.id if self.settings.apart[host.kind] else host.id[2]
+        return host.id if self.settings.has_own_limit[host.kind] else host.id[2]
 
     def trips_in_flight(self):
         return [s for s in self.sent if s.outcome is None]
@@ -232,7 +232,9 @@
             if fulfilled:
                 self.answers[s.packet.id] = "fulfilled"
             if outcome in MAY_RUN_ON and self.accepted[s.packet.id]["key"]:
-                self.quiet_until[self.accepted[s.packet.id]["key"]] = self.now + self.settings.key_quiet
+                self.quiet_until[self.accepted[s.packet.id]["key"]] = (
+                    self.now + self.settings.key_quiet_period
+                )
             self.relay.end_trip(
                 self.now,
                 s.packet.id,
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -17,7 +17,7 @@
         {}
         if seed < 12
         else {
-            "second_copies": False,
+            "allow_second_copies": False,
             "max_trips": 6,
             "zones": ("a", "b"),
             "profiles": [replace(p, dedup_per_zone=seed % 2 == 0) for p in PROFILES],
@@ -77,7 +77,7 @@
 
 def test_no_second_copy_runs_beside_an_overdue_call_where_copies_are_not_allowed():
     for allowed in (True, False):
-        rig = Rig(entries=[entry(0, 0)], relays=1, second_copies=allowed)
+        rig = Rig(entries=[entry(0, 0)], relays=1, allow_second_copies=allowed)
         for kind in (0, 0, 2):
             rig.add_packet(kind)
         rig.pass_time(5 * SECOND)
@@ -158,7 +158,7 @@
 
 
 def test_a_failed_watch_is_repeated_after_growing_delays():
-    rig = Rig(must_ask=True, must_ask_in=10 * SECOND)
+    rig = Rig(polls_host_list=True, host_list_poll_interval=10 * SECOND)
     for _ in range(4):
         rig.update_host_list(Change.FAILED, [])
         rig.pass_time(3 * SECOND)
@@ -223,11 +223,11 @@
 
     rig.pass_time(SECOND, decide)
     assert [s.packet.id for s in rig.sent] == [first, first, second]
-    assert rig.sent[2].at >= lost[0] + rig.settings.key_quiet
+    assert rig.sent[2].at >= lost[0] + rig.settings.key_quiet_period
 
 
 def test_a_reported_limit_that_falls_lowers_the_fair_share():
-    rig = Rig(entries=[entry(0, 0, kind=1, rate=100.0)], relays=10, reports=("x0", "x1"), slots=30)
+    rig = Rig(entries=[entry(0, 0, kind=1, rate=100.0)], relays=10, report_fields=("x0", "x1"), slots=30)
     for _ in range(60):
         rig.add_packet(0)
     rig.pass_time(SECOND, lambda s: (Outcome.FULFILLED, 0, (1.0, 5.0)) if rig.now > s.at + STEP else None)
@@ -273,7 +273,7 @@
         entries=[entry(0, 0, kind=1, rate=90.0), entry(0, 1, kind=1, rate=90.0), entry(2, 0, kind=1)],
         relays=1,
         slots=1,
-        second_copies=False,
+        allow_second_copies=False,
         profiles=[replace(p, dedup_window=12 * SECOND) for p in PROFILES],
     )
     lost = rig.add_packet([p.effect for p in PROFILES].index(effect))
@@ -299,7 +299,7 @@
 
 def test_packets_in_flight_before_a_restart_are_not_repeated_where_copies_are_not_allowed():
     for allowed in (True, False):
-        rig = Rig(second_copies=allowed)
+        rig = Rig(allow_second_copies=allowed)
         for ident, effect in enumerate((Effect.IDEMPOTENT, Effect.IDEMPOTENT_BY_KEY), 1):
             rig.accepted[ident] = {"hard_stop": rig.now + 9 * SECOND, "key": 0}
             kind, stop = [p.effect for p in PROFILES].index(effect), rig.now + 9 * SECOND
@@ -311,7 +311,7 @@
 
 
 def test_a_packet_lost_on_an_idle_connection_closes_others_where_it_cannot_be_repeated():
-    rig = Rig(entries=[entry(d, 0, kind=1) for d in range(4)], relays=1, second_copies=False)
+    rig = Rig(entries=[entry(d, 0, kind=1) for d in range(4)], relays=1, allow_second_copies=False)
     for destination in range(4):
         rig.add_packet(0, destination)
         rig.pass_time(SECOND, succeed_after()(rig))
@@ -403,9 +403,9 @@
         rig = Rig(
             entries=[entry(0, n, kind=1, zone=n, rate=90.0) for n in range(3)],
             relays=1,
-            halves=False,
+            value_halves=False,
             zones=("a", "b", "c"),
-            fees=(0.04, 0.01, 0.04),
+            zone_fees=(0.04, 0.01, 0.04),
             profiles=[profile],
         )
         for _ in range(12):  # the host with the low fee takes three times as long
@@ -467,7 +467,7 @@
         tenants=tenants,
         slots=1,
         max_open=12,
-        over_share=0.05,
+        over_quota_value=0.05,
     )
     flood = [rig.add_packet(0, 0, tenant=0) for _ in range(11)]
     fair = [rig.add_packet(0, 2, tenant=1) for _ in range(3)]
@@ -542,7 +542,7 @@
 
 
 def test_a_hung_destination_that_refuses_below_its_limit_is_ejected_with_all_its_hosts():
-    rig = Rig(entries=[entry(0, 0), entry(0, 1)], relays=200, reports=("x0", "x1"), slots=9)
+    rig = Rig(entries=[entry(0, 0), entry(0, 1)], relays=200, report_fields=("x0", "x1"), slots=9)
     for _ in range(40):
         rig.add_packet(0)
         rig.pass_time(500 * MILLISECOND, lambda s: (Outcome.FULL, 0, (0.9, 50.0)) if rig.now > s.at else None)
@@ -551,7 +551,7 @@
 
 def test_a_single_refusal_below_the_limit_does_not_eject_a_host_with_a_small_bucket():
     def slow_start_rate(refused):
-        rig = Rig(entries=[entry(0, 0, kind=1)], relays=200, reports=("x0", "x1"), slots=9)
+        rig = Rig(entries=[entry(0, 0, kind=1)], relays=200, report_fields=("x0", "x1"), slots=9)
 
         def decide(s):
             outcome = Outcome.FULL if rig.sent.index(s) in refused else Outcome.FULFILLED
@@ -567,7 +567,7 @@
 
 def test_refusals_below_the_limit_slow_a_sparse_sender_less_than_at_an_empty_bucket():
     def sent(left):
-        rig = Rig(entries=[entry(0, 0, kind=1)], relays=300, slots=3, reports=("x0", "x1"))
+        rig = Rig(entries=[entry(0, 0, kind=1)], relays=300, slots=3, report_fields=("x0", "x1"))
         for _ in range(9):
             rig.add_packet(0)
         rig.pass_time(
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -21,9 +21,10 @@
 @pytest.mark.parametrize("seed", range(20))
 def test_most_urgent_and_least_valuable_packets_match_a_plain_sort(seed):
     chance = random.Random(seed)
-    halves, span = chance.random() < 0.5, chance.choice((SECOND // 2, 3 * SECOND))
+    value_halves, span = chance.random() < 0.5, chance.choice((SECOND // 2, 3 * SECOND))
     curves = {
-        profile: ValueCurve(profile, span, halves) for profile in (random_profile(chance) for _ in range(3))
+        profile: ValueCurve(profile, span, value_halves)
+        for profile in (random_profile(chance) for _ in range(3))
     }
     queues, held, destination = PacketQueues(), [], Destination(PacketQueues())
 
@@ -32,7 +33,9 @@
         if trial and profile.effect is Effect.NON_IDEMPOTENT:
             return 0.0001 / (1 + packet.value)
         return packet.value * (
-            profile.value_fraction(halves, late) - profile.value_fraction(halves, late + span) + 0.001
+            profile.value_fraction(value_halves, late)
+            - profile.value_fraction(value_halves, late + span)
+            + 0.001
         )
 
     for step in range(400):
@@ -61,14 +64,14 @@
             assert [found_loss for found_loss, _ in found] == pytest.approx(expected, abs=1e-8)
             assert len({id(packet) for _, packet in found}) == len(found)
             least = queues.least_valuable(at)
-            assert least.value * remaining_value_fraction(least, at, halves) == pytest.approx(
-                min(p.value * remaining_value_fraction(p, at, halves) for p in held)
+            assert least.value * remaining_value_fraction(least, at, value_halves) == pytest.approx(
+                min(p.value * remaining_value_fraction(p, at, value_halves) for p in held)
             )
     assert held
 
 
-def remaining_value_fraction(packet, at, halves):
-    return packet.profile.value_fraction(halves, at - packet.target_at)
+def remaining_value_fraction(packet, at, value_halves):
+    return packet.profile.value_fraction(value_halves, at - packet.target_at)
 
 
 def check_queues(relay):
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -115,11 +115,11 @@
         listed = [entry(0, number, kind=1, rate=case.rate) for number in range(case.hosts)]
         self.entries: tuple[Entry, ...] = tuple(listed)
         self.settings = settings(
-            relays=max(1, round(case.relays * case.configured)), apart=(False, False), slots=9
+            relays=max(1, round(case.relays * case.configured)), has_own_limit=(False, False), slots=9
         )
         self.down_at = self.now + WARM_UP
         self.back_at = self.down_at + OUTAGE
-        self.end_at = self.back_at + self.settings.cold_time
+        self.end_at = self.back_at + self.settings.recovery_time
         # Calls since the return: when they arrived, and whether their relay had seen the outage.
         self.arrivals: list[tuple[int, bool]] = []
         self._events: list[tuple[int, int, Callable[[], object]]] = []
@@ -196,16 +196,16 @@
     def compute_budget(self, begun: int) -> float:
         """Return N of the window that begins then: a multiple of the capacity, which grows evenly."""
         given = self.settings
-        warm = (begun + given.fall_time / 2 - self.back_at) / given.cold_time
-        capacity = self.case.rate * min(1.0, given.cold_from + (1 - given.cold_from) * warm)
-        return given.fall_multiple * capacity * given.fall_time / SECOND
+        warm = (begun + given.recovery_window / 2 - self.back_at) / given.recovery_time
+        capacity = self.case.rate * min(1.0, given.initial_capacity + (1 - given.initial_capacity) * warm)
+        return given.recovery_multiple * capacity * given.recovery_window / SECOND
 
     def find_worst_window(self) -> float:
         """Return the largest load of any window that counts, as a fraction of N + 2 * sqrt(N) + 2."""
         worst = 0.0
         times = [at for at, _ in self.arrivals]
         for first, begun in enumerate(times):
-            window = self.arrivals[first : bisect_left(times, begun + self.settings.fall_time)]
+            window = self.arrivals[first : bisect_left(times, begun + self.settings.recovery_window)]
             if sum(informed for _, informed in window) > INFORMED_SHARE * len(window):
                 budget = self.compute_budget(begun)
                 worst = max(worst, len(window) / (budget + 2 * budget**0.5 + 2))
@@ -253,7 +253,7 @@
 
 
 def test_settings_without_a_budget_leave_trials_at_the_rate_of_own_use():
-    rig = Rig(entries=[entry(0, 0, kind=1)], relays=1, fall_multiple=0.0, fall_time=0)
+    rig = Rig(entries=[entry(0, 0, kind=1)], relays=1, recovery_multiple=0.0, recovery_window=0)
     for _ in range(3):
         rig.add_packet(0)
     rig.pass_time(2 * SECOND, lambda sent: Outcome.FAULT if rig.now > sent.at else None)
