--- a/benchmarks/held.py
+++ b/benchmarks/held.py
@@ -1,10 +1,10 @@
-"""What one more packet costs while many are held: one is taken, one call ends, one goes out.
+"""Measures the cost of one more packet while many are held: one is added, one call ends, one is sent.
 
     python benchmarks/held.py                                  this checkout
-    python benchmarks/held.py --against ../other --rounds 3    in turn with another checkout, and the ratios
+    python benchmarks/held.py --against ../other --rounds 3    alternating with another checkout, with ratios
 
-Microseconds of processor time a packet (median of batches), through the facade: no sockets, no disk, a clock
-that is handed in.  The hosts are simulated: each call ends when the loop says so.
+Microseconds of processor time per packet (median of batches) of the decision engine: no sockets, no disk, a
+simulated clock.  The hosts are simulated: the measuring loop decides when a call ends.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 import time
 from pathlib import Path
 
-HERE = Path(__file__).resolve().parent.parent
+CHECKOUT = Path(__file__).resolve().parent.parent
 
 
 def measure(held: int, destinations: int, hosts: int, slots: int, rate: float, packets: int) -> float:
-    """Median microseconds a packet."""
+    """Return the median microseconds per packet."""
     from millweir.facade import DecisionEngine
     from millweir.interface import SECOND, Change, Effect, Entry, Limits, Outcome, Phase, Profile, Settings
 
@@ -65,7 +65,7 @@
         key_quiet_period=300_000_000,
         allow_second_copies=True,
     )
-    now, chance = SECOND, random.Random(1)
+    now, rng = SECOND, random.Random(1)
     engine: DecisionEngine[int] = DecisionEngine(settings, Limits(1024, 3 << 20, 64 << 20), 1, now)
     entries = tuple(
         Entry(b"%06d" % (at * 1000 + n), 0, 0, at, Phase.READY, rate)
@@ -73,44 +73,42 @@
         for n in range(hosts // destinations)
     )
     engine.update_hosts(now, Change.FULL, entries)
-    out = []
+    jobs_in_flight = []
 
-    def take() -> None:
-        engine.add_packet(
-            now, 0, chance.randrange(2), 0, 0, now + 600 * SECOND, chance.randrange(destinations)
-        )
+    def add_packet() -> None:
+        engine.add_packet(now, 0, rng.randrange(2), 0, 0, now + 600 * SECOND, rng.randrange(destinations))
 
-    def tick() -> None:
+    def run_tick() -> None:
         engine.tick(now)
         while job := engine.pop_job():
-            out.append(job)
+            jobs_in_flight.append(job)
 
     while engine._relay._open_packets < held + slots:
         for _ in range(min(100, held + slots - engine._relay._open_packets)):
-            take()
+            add_packet()
         now += 1_000_000
-        tick()
-    took = []
+        run_tick()
+    batch_microseconds = []
     for _ in range(packets // 10):
-        began = time.process_time_ns()
+        batch_start = time.process_time_ns()
         for _ in range(10):
             now += 2_000_000
-            take()
-            if out:
-                job = out.pop(0)
+            add_packet()
+            if jobs_in_flight:
+                job = jobs_in_flight.pop(0)
                 for part in job.parts:
                     engine.report_outcome(now, part, Outcome.FULFILLED, True)
-            tick()
-        took.append((time.process_time_ns() - began) / 1e4)
-    return statistics.median(took)
+            run_tick()
+        batch_microseconds.append((time.process_time_ns() - batch_start) / 1e4)
+    return statistics.median(batch_microseconds)
 
 
-def ask(src: Path, given: argparse.Namespace) -> dict[str, float]:
-    """The figures of one checkout, in a process of its own."""
+def measure_checkout(src: Path, arguments: argparse.Namespace) -> dict[str, float]:
+    """Measure one checkout in a separate process."""
     names = ("destinations", "hosts", "slots", "rate", "packets")
-    command = [sys.executable, __file__, "--one", *(f"--{name}={getattr(given, name)}" for name in names)]
+    command = [sys.executable, __file__, "--one", *(f"--{name}={getattr(arguments, name)}" for name in names)]
     run = subprocess.run(
-        [*command, "--held", *map(str, given.held)],
+        [*command, "--held", *map(str, arguments.held)],
         stdout=subprocess.PIPE,
         check=True,
         env=os.environ | {"PYTHONPATH": str(src)},
@@ -130,30 +128,40 @@
     parser.add_argument("--rounds", type=int, default=1)
     parser.add_argument("--against", type=Path)
     parser.add_argument("--one", action="store_true", help=argparse.SUPPRESS)
-    given = parser.parse_args()
-    if given.one:
+    arguments = parser.parse_args()
+    if arguments.one:
         print(
             json.dumps(
                 {
                     held: measure(
-                        held, given.destinations, given.hosts, given.slots, given.rate, given.packets
+                        held,
+                        arguments.destinations,
+                        arguments.hosts,
+                        arguments.slots,
+                        arguments.rate,
+                        arguments.packets,
                     )
-                    for held in given.held
+                    for held in arguments.held
                 }
             )
         )
         return
-    checkouts = {"here": HERE} | ({"other": given.against} if given.against else {})
-    rounds = [{name: ask(src, given) for name, src in checkouts.items()} for _ in range(given.rounds)]
-    middle = {
-        name: [statistics.median(one[name][str(held)] for one in rounds) for held in given.held]
+    checkouts = {"here": CHECKOUT} | ({"other": arguments.against} if arguments.against else {})
+    rounds = [
+        {name: measure_checkout(src, arguments) for name, src in checkouts.items()}
+        for _ in range(arguments.rounds)
+    ]
+    medians = {
+        name: [statistics.median(one[name][str(held)] for one in rounds) for held in arguments.held]
         for name in checkouts
     }
-    print("held      " + "".join(f"{held:>10}" for held in given.held))
-    for name, figures in middle.items():
-        print(f"{name:<10}" + "".join(f"{figure:>10.0f}" for figure in figures) + "  us a packet")
-    if given.against:
-        ratios = (a / b for a, b in zip(middle["here"], middle["other"], strict=True))
+    print("held      " + "".join(f"{held:>10}" for held in arguments.held))
+    for name, median_us_values in medians.items():
+        print(
+            f"{name:<10}" + "".join(f"{median_us:>10.0f}" for median_us in median_us_values) + "  us a packet"
+        )
+    if arguments.against:
+        ratios = (a / b for a, b in zip(medians["here"], medians["other"], strict=True))
         print("ratio     " + "".join(f"{ratio:>10.3f}" for ratio in ratios))
 
 
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -1,10 +1,10 @@
-"""What membership costs a relay: time to ready, memory at ready, processor time, off against on, in pairs.
+"""Measures the cost of membership for a relay: time and memory at ready, processor time, off and on in pairs.
 
     python benchmarks/members.py --rounds 8 --against ../other
 
-Each round starts, in turning order: another checkout's relay (with --against), this one's without an
-operator's file, and this one's with it in a fleet of five.  Processor time is that of the whole process over
---seconds without packets.  Ratios are by pairs within a round.
+Each round starts, in rotating order: another checkout's relay (with --against), this checkout's relay without
+an operator's file, and this checkout's with one in a fleet of five.  Processor time is that of the whole
+process over --seconds without messages.  Differences are taken by pairs within a round.
 """
 
 from __future__ import annotations
@@ -18,58 +18,58 @@
 import time
 from pathlib import Path
 
-HERE = Path(__file__).resolve().parent.parent
-sys.path.insert(0, str(HERE))
+CHECKOUT = Path(__file__).resolve().parent.parent
+sys.path.insert(0, str(CHECKOUT))
 
 from millweir.lab.cluster import Rig  # noqa: E402  (from this checkout, wherever it is called from)
-from millweir.lab.day import Day  # noqa: E402
+from millweir.lab.scenario import Scenario  # noqa: E402
 
-TICK = os.sysconf("SC_CLK_TCK")
+TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 
 
-def memory(pid: int) -> float:
-    """Resident MB."""
+def read_memory_mb(pid: int) -> float:
+    """Return the resident memory in MB."""
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmRSS"):
             return int(line.split()[1]) / 1024
     raise OSError(f"{pid} has ended")
 
 
-def used(pid: int) -> float:
-    """Processor seconds so far."""
+def read_cpu_seconds(pid: int) -> float:
+    """Return the processor seconds used so far."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICK
+    return (int(fields[11]) + int(fields[12])) / TICKS_PER_SECOND
 
 
-async def look(relay: object, seconds: float, began: float) -> dict[str, float]:
+async def measure_relay(relay: object, seconds: float, started_at: float) -> dict[str, float]:
     await relay.ready()
-    ready = time.monotonic() - began
+    ready = time.monotonic() - started_at
     pid = relay.process.pid
-    found = {"ready": ready, "memory": memory(pid), "start_cpu": used(pid)}
+    found = {"ready": ready, "memory": read_memory_mb(pid), "start_cpu": read_cpu_seconds(pid)}
     if seconds:
-        await asyncio.sleep(1.5)  # until it has joined
-        before = used(pid)
+        await asyncio.sleep(1.5)  # until it has joined the fleet
+        before = read_cpu_seconds(pid)
         await asyncio.sleep(seconds)
-        found["cpu"] = (used(pid) - before) / seconds
-        found["memory_later"] = memory(pid)
+        found["cpu"] = (read_cpu_seconds(pid) - before) / seconds
+        found["memory_later"] = read_memory_mb(pid)
     return found
 
 
-async def one(which: str, root: Path, number: int, seconds: float) -> dict[str, float]:
-    """One start of one kind; the others of a fleet are there before."""
-    async with Rig(Day(relays=5 if which == "on" else 1, rate=0.0), 1, number=number) as rig:
+async def measure_start(which: str, root: Path, number: int, seconds: float) -> dict[str, float]:
+    """Start and measure one relay; the others of its fleet are started before."""
+    async with Rig(Scenario(relays=5 if which == "on" else 1, rate=0.0), 1, number=number) as rig:
         relay = rig.relays["r1"]
         relay.kill(lose_folder=True)
         if which != "on":
             spawn_bare(relay, root)
         else:
-            await rig.sees("r2", "r3", ("alive",), 20)
+            await rig.wait_until_seen_as("r2", "r3", ("alive",), 20)
             relay.spawn()
-        return await look(relay, seconds, time.monotonic())
+        return await measure_relay(relay, seconds, time.monotonic())
 
 
 def spawn_bare(relay: object, root: Path) -> None:
-    """As the platform starts it: no arguments."""
+    """Start a relay without arguments, as the platform does."""
     env = os.environ | {
         "RELAY_NAME": relay.name,
         "RELAY_LISTEN": f"{relay.listen[0]}:{relay.listen[1]}",
@@ -87,23 +87,28 @@
     parser.add_argument("--rounds", type=int, default=8)
     parser.add_argument("--seconds", type=float, default=5.0)
     parser.add_argument("--against", type=Path)
-    given = parser.parse_args()
-    kinds = {"off": HERE, "on": HERE} | ({"other": given.against.resolve()} if given.against else {})
+    arguments = parser.parse_args()
+    kinds = {"off": CHECKOUT, "on": CHECKOUT} | (
+        {"other": arguments.against.resolve()} if arguments.against else {}
+    )
     rounds: list[dict[str, dict[str, float]]] = []
-    for number in range(given.rounds):
+    for number in range(arguments.rounds):
         order = list(kinds)
         order = order[number % len(order) :] + order[: number % len(order)]
         rounds.append(
-            {which: asyncio.run(one(which, kinds[which], number, given.seconds)) for which in order}
+            {
+                which: asyncio.run(measure_start(which, kinds[which], number, arguments.seconds))
+                for which in order
+            }
         )
     for field in rounds[0]["off"]:
         for which in kinds:
             values = [found[which][field] for found in rounds]
-            middle = statistics.median(values)
-            line = f"{field:<13} {which:<6} median {middle:.4f}  {min(values):.4f} to {max(values):.4f}"
+            median = statistics.median(values)
+            line = f"{field:<13} {which:<6} median {median:.4f}  {min(values):.4f} to {max(values):.4f}"
             if which != "off":
-                less = [found[which][field] - found["off"][field] for found in rounds]
-                line += f"  less off, in pairs: {statistics.median(less):+.4f}"
+                differences = [found[which][field] - found["off"][field] for found in rounds]
+                line += f"  less off, in pairs: {statistics.median(differences):+.4f}"
             print(line)
 
 
--- a/millweir/cli/lab.py
+++ b/millweir/cli/lab.py
@@ -39,7 +39,7 @@
     verdict, finding = played.verdict, played.finding
     summary = {
         "seed": seed,
-        "fine": played.fine,
+        "fine": played.passed,
         "rules": {rule: breaches[:5] for rule, breaches in verdict.broken.items()},
         "packets": dict(verdict.counts),
         "wrong": finding.wrong,
@@ -57,7 +57,7 @@
         for key, value in summary.items():
             click.echo(f"{key:<13} {value}")
         click.echo(f"replay        millweir lab cluster {scenario} --seed {seed}")
-    raise SystemExit(0 if played.fine else 1)
+    raise SystemExit(0 if played.passed else 1)
 
 
 @lab.command()
@@ -95,9 +95,9 @@
 @click.argument("picture", type=click.Path(path_type=Path))
 def plot(rows: Path, picture: Path) -> None:
     """Plot the output of `fleet`, as PNG or SVG by the file's suffix (needs matplotlib)."""
-    from millweir.lab.plots import detection
+    from millweir.lab.plots import plot_detection
 
-    detection(rows, picture)
+    plot_detection(rows, picture)
 
 
 @lab.command()
@@ -170,7 +170,7 @@
     """Simulate outages drawn from SEEDS on fleets; exit 1 where a destination is overloaded."""
     from concurrent.futures import ProcessPoolExecutor
 
-    from millweir.lab.outages.fleet import worst_part
+    from millweir.lab.outages.fleet import find_worst_bound_ratio
     from millweir.lab.outages.scenario import draw_scenario
 
     first, _, end = seeds.partition(":")
@@ -180,7 +180,7 @@
         raise click.UsageError(f"no FROM:TO of whole numbers: {seeds!r}") from None
     scenarios = [draw_scenario(number) for number in seed_numbers]
     with ProcessPoolExecutor(workers) as pool:
-        bound_shares = list(pool.map(worst_part, scenarios, seed_numbers, chunksize=4))
+        bound_shares = list(pool.map(find_worst_bound_ratio, scenarios, seed_numbers, chunksize=4))
     for number, scenario, bound_share in zip(seed_numbers, scenarios, bound_shares, strict=True):
         if bound_share > 1:
             click.echo(f"seed {number}: {bound_share:.2f} of the bound; {scenario}")
--- a/millweir/lab/baselines.py
+++ b/millweir/lab/baselines.py
@@ -1,4 +1,4 @@
-"""Other ways to know who is there, to compare with; none of them runs in a relay."""
+"""Other failure detectors as baselines for comparison; none of them runs in a relay."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class PlainSwim(Core):
-    """SWIM with suspicion alone: one fixed time, no word of one's own lateness, gone is believed at once."""
+    """SWIM with suspicion alone: a fixed timeout, no check of its own health, `gone` is accepted at once."""
 
     def diagnose_local_health(self, now: int) -> str:
         return ""
@@ -45,90 +45,95 @@
 
 
 class Heartbeats:
-    """Everybody tells everybody each interval; silence for a fixed time is gone."""
+    """All-to-all heartbeats each interval; a member silent for a fixed time is gone."""
 
     def __init__(
         self,
         port: Port,
         rules: Rules,
-        chance: random.Random,
+        rng: random.Random,
         now: int,
         me: MemberRecord,
         contacts: Iterable[tuple[str, int]] = (),
     ) -> None:
-        self._port, self.rules, self._chance = port, rules, chance
+        self._port, self.rules, self._rng = port, rules, rng
         self.me = me
         self.members: dict[str, Member] = {}
-        self._next = now + round(chance.uniform(0.5, 1.5) * rules.interval)
-        self.silence = rules.min_suspicion_time(10)
+        self._next_beat_at = now + round(rng.uniform(0.5, 1.5) * rules.interval)
+        self.silence_timeout = rules.min_suspicion_time(10)
 
     def add_known_member(self, now: int, claim: MemberRecord) -> None:
         member = self.members[claim.name] = Member(claim, now)
         member.last_received_at = now
 
     def finish_bootstrap(self, now: int, contacts: Iterable[tuple[str, int]]) -> None:
-        self._port.set_timer(self._next)
+        self._port.set_timer(self._next_beat_at)
 
-    def receive_datagram(self, now: int, told: ReceivedDatagram) -> None:
-        member = self.members.get(told.sender.name)
+    def receive_datagram(self, now: int, datagram: ReceivedDatagram) -> None:
+        member = self.members.get(datagram.sender.name)
         if member is None:
             return
-        self._beat(now, member)
+        self._record_heartbeat(now, member)
         if member.status is MemberStatus.GONE:
             member.status = MemberStatus.ALIVE
             self._port.notify_status_change(
-                Change(now, told.sender.name, MemberStatus.GONE, MemberStatus.ALIVE, told.sender.name, 1)
+                Change(
+                    now, datagram.sender.name, MemberStatus.GONE, MemberStatus.ALIVE, datagram.sender.name, 1
+                )
             )
 
-    def _beat(self, now: int, member: Member) -> None:
+    def _record_heartbeat(self, now: int, member: Member) -> None:
         member.last_received_at = now
 
-    def _silent(self, now: int, member: Member) -> bool:
-        return now - member.last_received_at > self.silence
+    def _is_silent(self, now: int, member: Member) -> bool:
+        return now - member.last_received_at > self.silence_timeout
 
     def time_passed(self, now: int) -> None:
-        if now >= self._next:
-            self._next = now + self.rules.interval
-            datagram = Datagram(Kind.GOSSIP, 0, self.me)
+        if now >= self._next_beat_at:
+            self._next_beat_at = now + self.rules.interval
+            heartbeat = Datagram(Kind.GOSSIP, 0, self.me)
             for name, member in self.members.items():
-                self._port.send(member.record.address, 1, datagram)
-                if member.status is MemberStatus.ALIVE and self._silent(now, member):
+                self._port.send(member.record.address, 1, heartbeat)
+                if member.status is MemberStatus.ALIVE and self._is_silent(now, member):
                     member.status = MemberStatus.GONE
                     self._port.notify_status_change(
                         Change(now, name, MemberStatus.ALIVE, MemberStatus.GONE, self.me.name, 1)
                     )
-        self._port.set_timer(self._next)
+        self._port.set_timer(self._next_beat_at)
 
     def build_full_state(self, high: int = 1) -> FullState:
         return FullState(self.me, ())
 
-    def receive_full_state(self, now: int, whole: FullState) -> None:
+    def receive_full_state(self, now: int, state: FullState) -> None:
         pass
 
 
 class PhiAccrual(Heartbeats):
-    """The same heartbeats, judged by how unlikely the silence is (Hayashibara et al. 2004)."""
+    """Phi accrual failure detector: judges how unlikely the silence is (Hayashibara et al. 2004)."""
 
     THRESHOLD = 8.0
-    LEAST_DEVIATION = 100 * MILLISECOND
+    MIN_DEVIATION_NS = 100 * MILLISECOND
 
-    def __init__(self, *given: object) -> None:
-        super().__init__(*given)
-        self._past: dict[str, deque[int]] = {}
+    def __init__(self, *arguments: object) -> None:
+        super().__init__(*arguments)
+        self._intervals: dict[str, deque[int]] = {}
 
-    def _beat(self, now: int, member: Member) -> None:
-        past = self._past.setdefault(member.record.name, deque(maxlen=100))
-        past.append(now - member.last_received_at)
+    def _record_heartbeat(self, now: int, member: Member) -> None:
+        intervals = self._intervals.setdefault(member.record.name, deque(maxlen=100))
+        intervals.append(now - member.last_received_at)
         member.last_received_at = now
 
-    def _silent(self, now: int, member: Member) -> bool:
-        past = self._past.get(member.record.name)
-        if not past or len(past) < 3:
-            return now - member.last_received_at > self.silence
-        mean = sum(past) / len(past)
-        deviation = max(math.sqrt(sum((one - mean) ** 2 for one in past) / len(past)), self.LEAST_DEVIATION)
+    def _is_silent(self, now: int, member: Member) -> bool:
+        intervals = self._intervals.get(member.record.name)
+        if not intervals or len(intervals) < 3:
+            return now - member.last_received_at > self.silence_timeout
+        mean = sum(intervals) / len(intervals)
+        deviation = max(
+            math.sqrt(sum((interval - mean) ** 2 for interval in intervals) / len(intervals)),
+            self.MIN_DEVIATION_NS,
+        )
         tail = 0.5 * math.erfc((now - member.last_received_at - mean) / deviation / math.sqrt(2))
         return tail < 10**-self.THRESHOLD
 
 
-WAYS = {"millweir": Core, "plain-swim": PlainSwim, "heartbeats": Heartbeats, "phi-accrual": PhiAccrual}
+DETECTORS = {"millweir": Core, "plain-swim": PlainSwim, "heartbeats": Heartbeats, "phi-accrual": PhiAccrual}
--- a/millweir/lab/checker.py
+++ b/millweir/lab/checker.py
@@ -1,4 +1,12 @@
-"""The six rules, read off the history of the stand-ins alone; nothing here knows the program."""
+"""Checks the six delivery rules on the history of the stand-ins alone, without knowledge of the relays' code.
+
+1: every accepted message gets exactly one final outcome, in time.
+2: no message takes effect twice.
+3: no new calls to a draining or removed host after the grace period.
+4: a recovering host is not overloaded.
+5: messages with the same key keep their order.
+6: a retry-after wait is binding.
+"""
 
 from __future__ import annotations
 
@@ -19,17 +27,17 @@
 )
 
 MILLISECOND = 1_000_000
-SLACK = 50 * MILLISECOND  # every limit is longer by this
-ENDS_PROCESS = ("kill", "lose", "term", "roll", "kill-twice")
-NEVER_RAN = (429, 503, 504, 410)
+TOLERANCE_NS = 50 * MILLISECOND  # added to every time limit
+PROCESS_ENDING_FAULTS = ("kill", "lose", "term", "roll", "kill-twice")
+NEVER_RAN_STATUSES = (429, 503, 504, 410)
 
 
 @dataclass(frozen=True, slots=True)
 class Terms:
-    """What the rules' figures are, from the settings that the relays were given (nanoseconds)."""
+    """The limits of the rules (nanoseconds) and the profiles they apply to, from the relays' settings."""
 
-    single_use: frozenset[str]
-    referenced: frozenset[str]
+    non_idempotent: frozenset[str]
+    idempotent_by_key: frozenset[str]
     in_order: frozenset[str]
     dedup_window: int
     drain_grace: int
@@ -40,43 +48,46 @@
 
 @dataclass(slots=True)
 class Verdict:
-    """Rules broken, each with its packets or hosts; counts of what became of all."""
+    """Violations by rule number, and the number of messages by outcome."""
 
     broken: dict[int, list[str]] = field(default_factory=lambda: defaultdict(list))
     counts: dict[str, int] = field(default_factory=lambda: defaultdict(int))
 
     @property
-    def fine(self) -> bool:
+    def passed(self) -> bool:
         return not self.broken
 
 
-def check_rules(history: History, terms: Terms, over: int) -> Verdict:
-    """`over`: when the scenario had ended and every end was due."""
+def check_rules(history: History, terms: Terms, checked_at: int) -> Verdict:
+    """Check all rules; `checked_at` is when the scenario had ended and every outcome was due."""
     verdict = Verdict()
-    offered = {row.id: row for row in history.of(Offered)}
+    offered = {row.id: row for row in history.select(Offered)}
     calls: dict[str, list[Called]] = defaultdict(list)
-    for call in history.of(Called):
+    for call in history.select(Called):
         calls[call.id].append(call)
-    returns: dict[int, Returned] = {row.call: row for row in history.of(Returned)}
-    _ends(history, terms, offered, calls, returns, over, verdict)
-    _effects(terms, offered, calls, returns, verdict)
-    _drains(history, terms, verdict)
-    for row in history.of(Fallen):
+    returns: dict[int, Returned] = {row.call: row for row in history.select(Returned)}
+    _check_outcomes(history, terms, offered, calls, returns, checked_at, verdict)
+    _check_effects(terms, offered, calls, returns, verdict)
+    _check_draining(history, terms, verdict)
+    for row in history.select(Fallen):
         verdict.broken[4].append(f"{row.host} fell at {row.calls} calls")
-    _order(terms, offered, calls, returns, verdict)
-    _waits(history, terms, verdict)
+    _check_key_order(terms, offered, calls, returns, verdict)
+    _check_retry_after(history, terms, verdict)
     return verdict
 
 
-def _excused(history: History) -> dict[str, list[tuple[int, int, bool]]]:
-    """Spans in which each relay could not end anything: from a kill until it is ready again; machine lost?"""
+def _find_downtime(history: History) -> dict[str, list[tuple[int, int, bool]]]:
+    """Return by relay the spans in which it could not end any message, and whether its folder was lost.
+
+    A span lasts from a kill until the relay is ready again, or while its process is stopped or starved.
+    """
     ready: dict[str, list[int]] = defaultdict(list)
-    for row in history.of(Ready):
+    for row in history.select(Ready):
         ready[row.relay].append(row.at)
     spans: dict[str, list[tuple[int, int, bool]]] = defaultdict(list)
     stops: dict[str, int] = {}
-    for row in history.of(Struck):
-        if row.kind in ENDS_PROCESS and not row.over:
+    for row in history.select(Struck):
+        if row.kind in PROCESS_ENDING_FAULTS and not row.over:
             back = min((at for at in ready[row.who] if at > row.at), default=1 << 62)
             spans[row.who].append((row.at, back, row.kind == "lose"))
         elif row.kind in ("stop", "starve") and not row.over:
@@ -88,33 +99,33 @@
     return spans
 
 
-def _answer_by(offered: dict[str, Offered], calls: dict[str, list[Called]]) -> dict[int, int]:
-    """Of each shared call, when the time of its first message is up: a later answer counts for none."""
+def _find_batch_deadlines(offered: dict[str, Offered], calls: dict[str, list[Called]]) -> dict[int, int]:
+    """Return by batch call the earliest deadline of its messages; a later response does not count."""
     answer_by: dict[int, int] = {}
     for ident, made in calls.items():
         for call in made:
             if call.shared and ident in offered:
-                due = offered[ident].at + offered[ident].left + SLACK
+                due = offered[ident].at + offered[ident].left + TOLERANCE_NS
                 answer_by[call.shared] = min(due, answer_by.get(call.shared, due))
     return answer_by
 
 
-def _ends(
+def _check_outcomes(
     history: History,
     terms: Terms,
     offered: dict[str, Offered],
     calls: dict[str, list[Called]],
     returns: dict[int, Returned],
-    over: int,
+    checked_at: int,
     verdict: Verdict,
 ) -> None:
-    """Rule 1: what was taken on gets one end, in time."""
-    statuses = {row.id: row for row in history.of(Answered)}
-    answer_by = _answer_by(offered, calls)
+    """Rule 1: every accepted message gets exactly one final outcome, in time."""
+    statuses = {row.id: row for row in history.select(Answered)}
+    answer_by = _find_batch_deadlines(offered, calls)
     notices: dict[str, list[Noticed]] = defaultdict(list)
-    for row in history.of(Noticed):
+    for row in history.select(Noticed):
         notices[row.id].append(row)
-    excused = _excused(history)
+    downtime = _find_downtime(history)
     for ident, packet in offered.items():
         answer = statuses.get(ident)
         delivered = [
@@ -128,55 +139,60 @@
             verdict.counts["refused" if answer and answer.status else "unanswered"] += 1
             continue
         verdict.counts["taken"] += 1
-        told = notices[ident]
-        ends = [row.at for row in told] + delivered[:1]
+        received = notices[ident]
+        outcomes = [row.at for row in received] + delivered[:1]
         due = packet.at + packet.left + terms.overdue
-        spans = excused[packet.relay]
-        if any(lost and packet.at < start < min(ends, default=1 << 62) for start, _, lost in spans):
+        spans = downtime[packet.relay]
+        if any(lost and packet.at < start < min(outcomes, default=1 << 62) for start, _, lost in spans):
             verdict.counts["lost-with-machine"] += 1
             continue
         if (
-            not ends
-            and due < over
-            and not any(start < due and back + terms.after_ready > over for start, back, _ in spans)
+            not outcomes
+            and due < checked_at
+            and not any(start < due and back + terms.after_ready > checked_at for start, back, _ in spans)
         ):
             verdict.broken[1].append(f"{ident} ({packet.profile}, {packet.relay}) has no end")
-        elif len(told) > 1 and not any(start < told[-1].at for start, _, _ in spans):
-            verdict.broken[1].append(f"{ident} was ended {len(told)} times")
-        elif ends and min(ends) > due:
-            late = min(ends)
+        elif len(received) > 1 and not any(start < received[-1].at for start, _, _ in spans):
+            verdict.broken[1].append(f"{ident} was ended {len(received)} times")
+        elif outcomes and min(outcomes) > due:
+            late = min(outcomes)
             if not any(start < late and back + terms.after_ready > due for start, back, _ in spans):
                 verdict.broken[1].append(f"{ident} ended {(late - due) / 1e6:.0f} ms late")
-        verdict.counts["delivered" if delivered else told[0].result if told else "open"] += 1
+        verdict.counts["delivered" if delivered else received[0].result if received else "open"] += 1
 
 
-def _effects(
+def _check_effects(
     terms: Terms,
     offered: dict[str, Offered],
     calls: dict[str, list[Called]],
     returns: dict[int, Returned],
     verdict: Verdict,
 ) -> None:
-    """Rule 2: no second effect."""
+    """Rule 2: no message takes effect twice."""
     for ident, made in calls.items():
         packet = offered.get(ident)
         if packet is None:
             verdict.broken[2].append(f"{ident} was never offered")
             continue
-        risky = [
-            call for call in made if call.call not in returns or returns[call.call].status not in NEVER_RAN
+        may_have_run = [
+            call
+            for call in made
+            if call.call not in returns or returns[call.call].status not in NEVER_RAN_STATUSES
         ]
-        later = [call for call in made if risky and call.at > risky[0].at]
+        later = [call for call in made if may_have_run and call.at > may_have_run[0].at]
         if not later:
             continue
-        if packet.profile in terms.single_use:
+        if packet.profile in terms.non_idempotent:
             verdict.broken[2].append(f"{ident} (single-use) was called {len(made)} times")
-        elif packet.profile in terms.referenced and later[-1].at > risky[0].at + terms.dedup_window + SLACK:
+        elif (
+            packet.profile in terms.idempotent_by_key
+            and later[-1].at > may_have_run[0].at + terms.dedup_window + TOLERANCE_NS
+        ):
             verdict.broken[2].append(f"{ident} (referenced) was repeated too late")
 
 
-def _drains(history: History, terms: Terms, verdict: Verdict) -> None:
-    """Rule 3: nothing new to hosts that drain or are gone."""
+def _check_draining(history: History, terms: Terms, verdict: Verdict) -> None:
+    """Rule 3: no new calls to a draining or removed host after the grace period."""
     closed: dict[str, int] = {}
     for row in history.rows:
         if isinstance(row, Listed):
@@ -184,52 +200,55 @@
                 closed.pop(row.host, None)
             else:
                 closed.setdefault(row.host, row.at)
-        elif isinstance(row, Called) and row.at > closed.get(row.host, 1 << 62) + terms.drain_grace + SLACK:
+        elif (
+            isinstance(row, Called)
+            and row.at > closed.get(row.host, 1 << 62) + terms.drain_grace + TOLERANCE_NS
+        ):
             verdict.broken[3].append(
                 f"{row.id} went to {row.host}, told to leave it "
                 f"{(row.at - closed[row.host]) / 1e6:.0f} ms before"
             )
 
 
-def _order(
+def _check_key_order(
     terms: Terms,
     offered: dict[str, Offered],
     calls: dict[str, list[Called]],
     returns: dict[int, Returned],
     verdict: Verdict,
 ) -> None:
-    """Rule 5: of one key, as handed in at one relay, no packet is out before the earlier one is back."""
-    lines: dict[tuple[str, str], list[Offered]] = defaultdict(list)
+    """Rule 5: messages of one key at one relay are sent in order, each after the earlier one returned."""
+    queues: dict[tuple[str, str], list[Offered]] = defaultdict(list)
     for packet in offered.values():
         if packet.key and packet.profile in terms.in_order:
-            lines[packet.relay, packet.key].append(packet)
-    for line in lines.values():
-        line.sort(key=lambda packet: packet.at)
-        for earlier, later in zip(line, line[1:], strict=False):
+            queues[packet.relay, packet.key].append(packet)
+    for queue in queues.values():
+        queue.sort(key=lambda packet: packet.at)
+        for earlier, later in zip(queue, queue[1:], strict=False):
             for call in calls[earlier.id]:
                 back = returns[call.call].at if call.call in returns else 1 << 62
                 for other in calls[later.id]:
-                    if other.at < call.at or other.at < back - SLACK and other.at >= call.at:
+                    if other.at < call.at or other.at < back - TOLERANCE_NS and other.at >= call.at:
                         verdict.broken[5].append(f"{later.id} went out before {earlier.id} was back")
                         break
 
 
-def _waits(history: History, terms: Terms, verdict: Verdict) -> None:
-    """Rule 6: no call to a host within a wait that it told this relay, but for those under way.
+def _check_retry_after(history: History, terms: Terms, verdict: Verdict) -> None:
+    """Rule 6: a relay sends no call to a host within its retry-after wait, except calls already in flight.
 
-    A restart ends the waits of that relay.  Whose call it was is told by who the packet was handed to; once
-    relays take work over, the history needs the caller itself.
+    A restart ends the waits of that relay.  The caller is taken to be the relay that accepted the message; if
+    relays take over messages of others, the history has to record the caller itself.
     """
-    hosts = {call.call: call.host for call in history.of(Called)}
-    relays = {row.id: row.relay for row in history.of(Offered)}
+    hosts = {call.call: call.host for call in history.select(Called)}
+    relays = {row.id: row.relay for row in history.select(Offered)}
     until: dict[tuple[str, str], tuple[int, int]] = {}
     for row in history.rows:
         if isinstance(row, Returned) and row.wait:
             key = hosts[row.call], relays.get(row.id, "")
             until[key] = max(until.get(key, (0, 0)), (row.at + row.wait, row.at + terms.wait_grace))
-        elif isinstance(row, Struck) and row.kind in ENDS_PROCESS:
+        elif isinstance(row, Struck) and row.kind in PROCESS_ENDING_FAULTS:
             until = {key: wait for key, wait in until.items() if key[1] != row.who}
         elif isinstance(row, Called):
-            end, free = until.get((row.host, relays.get(row.id, "")), (0, 0))
-            if free < row.at < end - MILLISECOND:
+            wait_ends, binding_from = until.get((row.host, relays.get(row.id, "")), (0, 0))
+            if binding_from < row.at < wait_ends - MILLISECOND:
                 verdict.broken[6].append(f"{row.id} went to {row.host} within its wait")
--- a/millweir/lab/cluster.py
+++ b/millweir/lab/cluster.py
@@ -1,4 +1,4 @@
-"""Play a scenario on real relays: processes, stand-ins, a proxy for each directed pair, timed faults."""
+"""Runs a scenario on relay processes, with stand-ins, a fault proxy per directed pair and timed faults."""
 
 from __future__ import annotations
 
@@ -17,51 +17,51 @@
 import msgspec
 
 from millweir.lab.checker import Terms, Verdict, check_rules
-from millweir.lab.history import History, Ready, Struck, steady
-from millweir.lab.processes import Address, Relay, TookTooLong
-from millweir.lab.scenario import HOST, Fault, Scenario, timeline
+from millweir.lab.history import History, Ready, Struck, monotonic_ns
+from millweir.lab.processes import Address, Relay, WaitTimeout
+from millweir.lab.scenario import HOST, Fault, Scenario, list_faults
 from millweir.lab.standins import SETTINGS, Clients, Host, Platform
-from millweir.lab.views import Finding, Truth, Watched, findings
+from millweir.lab.views import FaultRecord, MembershipFinding, PolledViews, evaluate_views
 from millweir.lab.wire import Faults, Wire
 
-KILL_AFTER = 3.7  # seconds from SIGTERM to SIGKILL at the earliest
-RESTART_AFTER = 0.6  # seconds from SIGKILL to the next start
-RELOADS = 3  # signals in a row
-POLL = 0.25  # seconds between looks at the views
-DUE = 8.6  # seconds after the last packet until every end is due
+KILL_AFTER_S = 3.7  # minimum time from SIGTERM to SIGKILL
+RESTART_AFTER_S = 0.6  # from SIGKILL to the next start
+RELOAD_SIGNALS = 3
+VIEW_POLL_S = 0.25
+OUTCOME_WAIT_S = 8.6  # from the last message until every outcome is due
 
 
-def own_address(number: int = 0) -> str:
-    """A loopback address that no other rig on this machine uses."""
+def rig_address(number: int = 0) -> str:
+    """Return a loopback address that no other rig on this machine uses."""
     pid = os.getpid()
     return f"127.{64 + number % 64}.{pid >> 8 & 255}.{pid & 255}"
 
 
 @dataclass(slots=True)
-class Played:
-    """What a scenario came to."""
+class RunResult:
+    """The result of a scenario run."""
 
     verdict: Verdict
-    finding: Finding
+    finding: MembershipFinding
     faults: list[str] = field(default_factory=list)
-    failures: list[str] = field(default_factory=list)  # of the rig's own waits
+    failures: list[str] = field(default_factory=list)  # timeouts of the rig's own waits
 
     @property
-    def fine(self) -> bool:
-        return self.verdict.fine and self.finding.fine and not self.failures
+    def passed(self) -> bool:
+        return self.verdict.passed and self.finding.passed and not self.failures
 
 
 class Rig:
-    """All that a scenario needs; `async with` starts it, and ends every process on the way out."""
+    """All components of a scenario run; `async with` starts them and ends every process on exit."""
 
     def __init__(self, scenario: Scenario, seed: int, folder: Path | None = None, number: int = 0) -> None:
         self.scenario, self.seed = scenario, seed
         self.folder = folder or Path(tempfile.mkdtemp(prefix="mw-"))
         self._keep = folder is not None
         self.folder.mkdir(parents=True, exist_ok=True)
-        self.chance = random.Random(seed ^ 0x5EED)
-        self.host = own_address(number)
-        self.history, self.truth = History(), Truth(scenario.names)
+        self.rng = random.Random(seed ^ 0x5EED)
+        self.host = rig_address(number)
+        self.history, self.injected_faults = History(), FaultRecord(scenario.names)
         self.platform = Platform((self.host, 7900), self.history)
         calls = [0]
         self.hosts = [
@@ -71,7 +71,7 @@
                 scenario.host_rate,
                 (self.host, 8000 + n),
                 self.history,
-                random.Random(self.chance.getrandbits(60)),
+                random.Random(self.rng.getrandbits(60)),
                 calls,
             )
             for n in range(scenario.hosts)
@@ -95,28 +95,30 @@
 
     # Addresses.
 
-    def members_at(self, name: str) -> Address:
+    def members_address(self, name: str) -> Address:
         return self.host, 7100 + self.scenario.names.index(name)
 
-    def wire_at(self, start: str, end: str) -> Address:
+    def wire_address(self, start: str, end: str) -> Address:
         names = self.scenario.names
         return self.host, 10000 + names.index(start) * len(names) + names.index(end)
 
-    def operator(self, name: str, /, seeds: tuple[str, ...] = (), **more: str) -> str:
-        """The operator's file of a relay: it reaches the others by its own wires."""
+    def build_operator_file(self, name: str, /, seeds: tuple[str, ...] = (), **more: str) -> str:
+        """Build the operator's file of a relay, which reaches each other relay through a fault proxy."""
         scenario, names = self.scenario, self.scenario.names
 
-        def text(address: Address) -> str:
+        def quote(address: Address) -> str:
             return f'"{address[0]}:{address[1]}"'
 
         via = "\n".join(
-            f"{text(self.members_at(end))} = {text(self.wire_at(name, end))}" for end in names if end != name
+            f"{quote(self.members_address(end))} = {quote(self.wire_address(name, end))}"
+            for end in names
+            if end != name
         )
         seeds = seeds or names[:2]
         lines = {
             "cluster": '"rig"',
-            "listen": text(self.members_at(name)),
-            "seeds": f"[{', '.join(text(self.members_at(seed)) for seed in seeds)}]",
+            "listen": quote(self.members_address(name)),
+            "seeds": f"[{', '.join(quote(self.members_address(seed)) for seed in seeds)}]",
             "place": f'"b{names.index(name) % 2}/m{names.index(name)}"',
             "interval": f'"{scenario.interval // 1000}us"',
             "timeout": f'"{scenario.interval // 2000}us"',
@@ -132,13 +134,13 @@
         body = "\n".join(f"{key} = {value}" for key, value in lines.items())
         return f"[members]\n{body}\n\n[members.via]\n{via}\n"
 
-    def config(self, name: str) -> dict:
+    def build_config(self, name: str) -> dict:
         return {
             "name": name,
             "seed": "2a",
             "limits": {"memory_mb": 192, "sockets": 512, "disk_mb": 16},
             "discovery": f"{self.platform.address[0]}:{self.platform.address[1]}",
-            "known": self.platform.list() | {"index": 0},
+            "known": self.platform.build_host_list() | {"index": 0},
             "settings": SETTINGS
             | {
                 "balancers": self.scenario.relays,
@@ -152,27 +154,27 @@
         await self.platform.open()
         for host in self.hosts:
             await host.open()
-            await self.platform.put(host)
+            await self.platform.update_host(host)
         for start in self.scenario.names if self.scenario.members else ():
             for end in self.scenario.names:
                 if start != end:
-                    chance = random.Random(self.chance.getrandbits(60))
-                    wire = self.wires[start, end] = Wire(start, end, self.members_at(end), chance)
-                    await wire.open(self.wire_at(start, end))
+                    rng = random.Random(self.rng.getrandbits(60))
+                    wire = self.wires[start, end] = Wire(start, end, self.members_address(end), rng)
+                    await wire.open(self.wire_address(start, end))
         for (start, end), wire in self.wires.items():
-            wire.back = self.wires[end, start]
+            wire.reverse = self.wires[end, start]
         for number, name in enumerate(self.scenario.names):
             relay = self.relays[name] = Relay(
                 name,
                 self.folder / name,
                 (self.host, 7000 + number),
-                lambda name=name: self.config(name),
-                self.operator(name) if self.scenario.members else "",
+                lambda name=name: self.build_config(name),
+                self.build_operator_file(name) if self.scenario.members else "",
             )
             relay.spawn()
         await asyncio.gather(*(relay.ready() for relay in self.relays.values()))
         for name in self.relays:
-            self.history.add(Ready(steady(), name))
+            self.history.add(Ready(monotonic_ns(), name))
 
     async def _close(self) -> None:
         for task in list(self._tasks):
@@ -189,163 +191,172 @@
         if not self._keep:
             shutil.rmtree(self.folder, ignore_errors=True)
 
-    def task(self, what: object) -> asyncio.Task:
-        task = asyncio.get_running_loop().create_task(what)
+    def start_task(self, coroutine: object) -> asyncio.Task:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
     # Views.
 
-    async def views(self) -> dict[str, dict[str, str]]:
-        """Of each relay that is up: how it sees each other one."""
+    async def collect_views(self) -> dict[str, dict[str, str]]:
+        """Return for each running relay how it sees each other one."""
         up = [relay for relay in self.relays.values() if relay.up]
-        found = await asyncio.gather(*(relay.view() for relay in up))
+        views = await asyncio.gather(*(relay.request_view() for relay in up))
         return {
             relay.name: {row["name"]: row["degree"] for row in view["members"]}
-            for relay, view in zip(up, found, strict=True)
+            for relay, view in zip(up, views, strict=True)
             if view
         }
 
-    async def agreed(
-        self, seconds: float = 30.0, among: tuple[str, ...] = (), fits: Callable[[dict], bool] | None = None
+    async def wait_until_agreed(
+        self,
+        seconds: float = 30.0,
+        among: tuple[str, ...] = (),
+        condition: Callable[[dict], bool] | None = None,
     ) -> float:
-        """Wait until all that are up hold each other for there; returns how long it took."""
-        began = time.monotonic()
+        """Wait until all relays see each other as alive; return the seconds it took."""
+        started_at = time.monotonic()
         names = set(among or self.scenario.names)
         views: dict = {}
 
-        def all_there() -> bool:
+        def all_alive() -> bool:
             return names <= set(views) and all(
                 views[name].get(other) in ("alive", "late") for name in names for other in names - {name}
             )
 
         while True:
-            views = await self.views()
-            if (fits or (lambda _: all_there()))(views):
-                return time.monotonic() - began
-            if time.monotonic() - began > seconds:
-                raise TookTooLong(f"no agreement within {seconds} s: {views}")
+            views = await self.collect_views()
+            if (condition or (lambda _: all_alive()))(views):
+                return time.monotonic() - started_at
+            if time.monotonic() - started_at > seconds:
+                raise WaitTimeout(f"no agreement within {seconds} s: {views}")
             await asyncio.sleep(0.05)
 
-    async def sees(self, viewer: str, name: str, degrees: tuple[str, ...], seconds: float = 30.0) -> float:
-        """Wait until one relay holds another for one of these; returns how long it took."""
-        return await self.agreed(seconds, fits=lambda views: views.get(viewer, {}).get(name) in degrees)
+    async def wait_until_seen_as(
+        self, viewer: str, name: str, degrees: tuple[str, ...], seconds: float = 30.0
+    ) -> float:
+        """Wait until one relay sees another in one of these states; return the seconds it took."""
+        return await self.wait_until_agreed(
+            seconds, condition=lambda views: views.get(viewer, {}).get(name) in degrees
+        )
 
     # Faults.
 
     def set_links(
-        self, starts: tuple[str, ...], ends: tuple[str, ...], both: bool = False, **how: object
+        self, starts: tuple[str, ...], ends: tuple[str, ...], both: bool = False, **faults: object
     ) -> None:
         for start in starts:
             for end in ends:
                 for pair in ((start, end), (end, start)) if both else ((start, end),):
                     if wire := self.wires.get(pair):
-                        for key, value in how.items():
+                        for key, value in faults.items():
                             setattr(wire.faults, key, value)
 
-    async def strike(self, fault: Fault) -> None:
-        """Let a fault begin, and end after its span; the rig's own waits that fail are kept."""
-        self._note(fault, over=False)
+    async def inject_fault(self, fault: Fault) -> None:
+        """Inject a fault and end it after its span; record waits of the rig that time out."""
+        self._record_fault(fault, over=False)
         try:
             if fault.kind in HOST:
-                await asyncio.gather(*(self._strike_host(fault, int(name[1:])) for name in fault.who))
+                await asyncio.gather(*(self._inject_host_fault(fault, int(name[1:])) for name in fault.who))
             elif fault.who:
-                await asyncio.gather(*(self._strike_process(fault, self.relays[name]) for name in fault.who))
+                await asyncio.gather(
+                    *(self._inject_process_fault(fault, self.relays[name]) for name in fault.who)
+                )
             else:
-                await self._strike_links(fault)
-        except TookTooLong as late:
-            self.failures.append(f"{fault.line()}: {late}")
-        self._note(fault, over=True)
+                await self._inject_connection_fault(fault)
+        except WaitTimeout as timeout:
+            self.failures.append(f"{fault.describe()}: {timeout}")
+        self._record_fault(fault, over=True)
 
-    def _note(self, fault: Fault, over: bool) -> None:
+    def _record_fault(self, fault: Fault, over: bool) -> None:
         for who in fault.who or ("",):
-            self.history.add(Struck(steady(), fault.kind, who, over))
-        self.truth.struck(time.monotonic(), fault, over)
+            self.history.add(Struck(monotonic_ns(), fault.kind, who, over))
+        self.injected_faults.record_fault(time.monotonic(), fault, over)
 
-    async def _strike_process(self, fault: Fault, relay: Relay) -> None:
+    async def _inject_process_fault(self, fault: Fault, relay: Relay) -> None:
         seconds = fault.span / 1e9
         if fault.kind == "stop":
             relay.stop()
             await asyncio.sleep(seconds)
-            relay.go_on()
+            relay.resume()
         elif fault.kind == "starve":
             await relay.starve(fault.share, seconds)
         elif fault.kind == "full":
-            relay.fill(True)
+            relay.set_disk_full(True)
             await asyncio.sleep(seconds)
-            relay.fill(False)
+            relay.set_disk_full(False)
         elif fault.kind == "skew":
-            relay.skew(fault.hours)
+            relay.set_clock_skew(fault.hours)
             await asyncio.sleep(seconds)
-            relay.skew(0)
+            relay.set_clock_skew(0)
         elif fault.kind == "reload":
-            for _ in range(RELOADS):
+            for _ in range(RELOAD_SIGNALS):
                 relay.signal(signal.SIGHUP)
-                await asyncio.sleep(seconds / RELOADS)
+                await asyncio.sleep(seconds / RELOAD_SIGNALS)
         elif relay.alive:
             if fault.kind == "term":
-                await relay.end()
+                await relay.terminate()
             elif fault.kind == "roll":
-                relay.killed = True  # whoever waits for it to be ready waits no longer
+                relay.killed = True  # ends a wait for it to be ready
                 relay.signal(signal.SIGTERM)
-                await asyncio.sleep(KILL_AFTER)
-                self._kill(relay)
+                await asyncio.sleep(KILL_AFTER_S)
+                self._record_and_kill(relay)
             elif fault.kind == "kill-twice":
                 relay.kill()
-                await asyncio.sleep(RESTART_AFTER)
+                await asyncio.sleep(RESTART_AFTER_S)
                 relay.spawn()
-                await asyncio.sleep(self.chance.uniform(0.0, RESTART_AFTER))
-                self._kill(relay)
+                await asyncio.sleep(self.rng.uniform(0.0, RESTART_AFTER_S))
+                self._record_and_kill(relay)
             else:
                 relay.kill(fault.kind == "lose")
-            self.truth.died(time.monotonic(), relay.name, fault.kind)
+            self.injected_faults.record_death(time.monotonic(), relay.name, fault.kind)
             await asyncio.sleep(seconds)
             if fault.span and not relay.alive:
-                await self.back(relay, fault.wait / 1e9 if fault.kind == "slow" else 0.0)
+                await self.restart(relay, fault.wait / 1e9 if fault.kind == "slow" else 0.0)
 
-    def _kill(self, relay: Relay) -> None:
-        """Kill what runs by now, and say so: another fault may have started it since this one began."""
-        self.history.add(Struck(steady(), "kill", relay.name))
+    def _record_and_kill(self, relay: Relay) -> None:
+        """Kill the current process and record it: another fault may have restarted it meanwhile."""
+        self.history.add(Struck(monotonic_ns(), "kill", relay.name))
         relay.kill()
 
-    async def back(self, relay: Relay, held: float = 0.0) -> None:
-        """Start it again, with the folder that it has."""
-        self.truth.returned(time.monotonic(), relay.name)
+    async def restart(self, relay: Relay, held: float = 0.0) -> None:
+        """Start it again with its existing folder."""
+        self.injected_faults.record_restart(time.monotonic(), relay.name)
         relay.spawn(held > 0)
         if held:
             await asyncio.sleep(held)
-            relay.go_on()
+            relay.resume()
         await relay.ready()
         if not relay.killed:
-            self.history.add(Ready(steady(), relay.name))
+            self.history.add(Ready(monotonic_ns(), relay.name))
 
-    async def _strike_host(self, fault: Fault, number: int) -> None:
+    async def _inject_host_fault(self, fault: Fault, number: int) -> None:
         host = self.hosts[number]
         if fault.kind == "drain":
-            await self.platform.put(host, "DRAINING")
+            await self.platform.update_host(host, "DRAINING")
             await asyncio.sleep(fault.span / 1e9)
-            await self.platform.put(host)
+            await self.platform.update_host(host)
         elif fault.kind == "refuse":
-            host.shut()
+            host.go_down()
             await asyncio.sleep(fault.span / 1e9)
-            await host.reopen()
+            await host.come_back()
         elif fault.kind == "shut":
-            host.shut_for(fault.span, fault.share)
+            host.refuse_calls_for(fault.span, fault.share)
             await asyncio.sleep(fault.span / 1e9)
-            host.open_again()
+            host.accept_calls_again()
         elif fault.kind in ("mute", "short"):
             setattr(host, fault.kind, True)
             await asyncio.sleep(fault.span / 1e9)
             setattr(host, fault.kind, False)
         else:
-            host.hang(True)
+            host.set_hung(True)
             await asyncio.sleep(fault.span / 1e9)
-            host.hang(False)
+            host.set_hung(False)
 
-    async def _strike_links(self, fault: Fault) -> None:
-        seconds, both = fault.span / 1e9, fault.kind in ("cut", "split", "flap")
-        how = {
+    async def _inject_connection_fault(self, fault: Fault) -> None:
+        seconds, both_directions = fault.span / 1e9, fault.kind in ("cut", "split", "flap")
+        active_faults = {
             "cut": {"cut": True},
             "split": {"cut": True},
             "cut-one-way": {"cut": True},
@@ -356,90 +367,96 @@
             "bandwidth": {"bytes_second": fault.bytes_second},
             "flap": {"cut": True},
         }[fault.kind]
-        calm = {key: getattr(Faults(), key) for key in how}
+        defaults = {key: getattr(Faults(), key) for key in active_faults}
         end = time.monotonic() + seconds
         if fault.kind == "flap":
             while time.monotonic() < end:
-                self.set_links(fault.start, fault.end, both, **how)
+                self.set_links(fault.start, fault.end, both_directions, **active_faults)
                 await asyncio.sleep(fault.wait / 1e9)
-                self.set_links(fault.start, fault.end, both, **calm)
+                self.set_links(fault.start, fault.end, both_directions, **defaults)
                 await asyncio.sleep(fault.wait / 1e9)
         else:
-            self.set_links(fault.start, fault.end, both, **how)
+            self.set_links(fault.start, fault.end, both_directions, **active_faults)
             await asyncio.sleep(seconds)
-        self.set_links(fault.start, fault.end, both, **calm)
+        self.set_links(fault.start, fault.end, both_directions, **defaults)
 
     # A whole scenario.
 
-    async def play(self, say: Callable[[str], None] = lambda line: None) -> Played:
-        scenario, faults = self.scenario, timeline(self.scenario, self.seed)
+    async def play(self, report: Callable[[str], None] = lambda line: None) -> RunResult:
+        scenario, faults = self.scenario, list_faults(self.scenario, self.seed)
         if scenario.members:
-            await self.agreed()
-        watched = Watched()
-        began = time.monotonic()
-        self.truth.began = began
+            await self.wait_until_agreed()
+        polled = PolledViews()
+        started_at = time.monotonic()
+        self.injected_faults.started_at = started_at
         self._clients = Clients(
             lambda: [(relay.name, relay.listen) for relay in self.relays.values() if relay.up],
             scenario.groups,
             scenario.rate,
             self.history,
-            random.Random(self.chance.getrandbits(60)),
+            random.Random(self.rng.getrandbits(60)),
         )
         for relay in self.relays.values():
-            await self._clients.rest(relay.name, relay.listen, scenario.crowd)
-        load = self.task(self._clients.run(scenario.span / 1e9)) if scenario.rate else None
-        watch = self.task(self._watch(watched)) if scenario.members else None
+            await self._clients.open_idle_connections(relay.name, relay.listen, scenario.crowd)
+        load = self.start_task(self._clients.run(scenario.span / 1e9)) if scenario.rate else None
+        watch = self.start_task(self._poll_views(polled)) if scenario.members else None
         running = []
         for fault in faults:
-            await asyncio.sleep(max(began + fault.at / 1e9 - time.monotonic(), 0))
-            say(fault.line())
-            running.append(self.task(self.strike(fault)))
-        await asyncio.sleep(max(began + scenario.span / 1e9 - time.monotonic(), 0))
+            await asyncio.sleep(max(started_at + fault.at / 1e9 - time.monotonic(), 0))
+            report(fault.describe())
+            running.append(self.start_task(self.inject_fault(fault)))
+        await asyncio.sleep(max(started_at + scenario.span / 1e9 - time.monotonic(), 0))
         if running:
             await asyncio.wait(running)
-        with contextlib.suppress(TookTooLong):
+        with contextlib.suppress(WaitTimeout):
             if scenario.members:
-                await self.agreed(30.0, tuple(relay.name for relay in self.relays.values() if relay.up))
+                await self.wait_until_agreed(
+                    30.0, tuple(relay.name for relay in self.relays.values() if relay.up)
+                )
         if load:
             await load
-            await asyncio.sleep(DUE)
+            await asyncio.sleep(OUTCOME_WAIT_S)
         if watch:
-            watched.last = await self.views()
+            polled.last = await self.collect_views()
             watch.cancel()
-        self.truth.over = time.monotonic()
+        self.injected_faults.ended_at = time.monotonic()
         self.failures += [
             f"{relay.name} ended by itself: {relay.tail()}"
             for relay in self.relays.values()
-            if not relay.alive and relay.name not in self.truth.down
+            if not relay.alive and relay.name not in self.injected_faults.down
         ]
         events = {relay.name: relay.read_events() for relay in self.relays.values()}
-        verdict = check_rules(self.history, self.terms(), steady())
-        finding = findings(self.truth, watched, events) if scenario.members else Finding()
+        verdict = check_rules(self.history, self.build_terms(), monotonic_ns())
+        finding = (
+            evaluate_views(self.injected_faults, polled, events) if scenario.members else MembershipFinding()
+        )
         if self._keep:
             self.history.write(self.folder / "history.jsonl")
-            (self.folder / "views.json").write_bytes(msgspec.json.encode(watched.rows))
-        return Played(verdict, finding, [fault.line() for fault in faults], self.failures)
+            (self.folder / "views.json").write_bytes(msgspec.json.encode(polled.rows))
+        return RunResult(verdict, finding, [fault.describe() for fault in faults], self.failures)
 
-    async def _watch(self, watched: Watched) -> None:
+    async def _poll_views(self, polled: PolledViews) -> None:
         while True:
-            watched.add(time.monotonic(), await self.views())
-            await asyncio.sleep(POLL)
+            polled.add(time.monotonic(), await self.collect_views())
+            await asyncio.sleep(VIEW_POLL_S)
 
     @staticmethod
-    def terms() -> Terms:
-        def named(**fits: object) -> frozenset[str]:
+    def build_terms() -> Terms:
+        def profile_names(**condition: object) -> frozenset[str]:
             return frozenset(
                 grade["name"]
                 for grade in SETTINGS["grades"]
-                if all(grade.get(key) == value for key, value in fits.items())
+                if all(grade.get(key) == value for key, value in condition.items())
             )
 
         rules = SETTINGS["obligations"]
-        known = min(grade["dedup-window-us"] for grade in SETTINGS["grades"] if "dedup-window-us" in grade)
+        dedup_window_us = min(
+            grade["dedup-window-us"] for grade in SETTINGS["grades"] if "dedup-window-us" in grade
+        )
         return Terms(
-            named(semantics="side_effect"),
-            named(semantics="token"),
-            named(**{"one-at-a-time": True}),
-            known * 1000,
+            profile_names(semantics="side_effect"),
+            profile_names(semantics="token"),
+            profile_names(**{"one-at-a-time": True}),
+            dedup_window_us * 1000,
             rules["drain-grace-us"] * 1000,
         )
--- a/millweir/lab/detect.py
+++ b/millweir/lab/detect.py
@@ -1,4 +1,4 @@
-"""How well a way to know who is there does: time to detect, false deaths, bytes, by size and trouble."""
+"""Measures failure detectors in simulated fleets: detection time, false deaths, bytes, by size and fault."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 import msgspec
 
-from millweir.lab.baselines import WAYS
+from millweir.lab.baselines import DETECTORS
 from millweir.lab.fleet import Fleet, Node
 from millweir.members.core import SECOND, Change, MemberStatus, Rules
 
 TROUBLES = ("calm", "pauses", "loss")
-SETTLED = 5  # seconds before anything counts
+WARM_UP_S = 5  # before the measurement begins
 
 
 class Row(msgspec.Struct, frozen=True):
-    """Figures of one run; times in seconds, rates a member."""
+    """Figures of one run; times in seconds, rates per member."""
 
     way: str
     size: int
@@ -29,39 +29,39 @@
     seed: int
     suspicion: float
     seconds: float
-    messages: float  # a second, sent
-    bytes: float  # a second, sent
+    messages: float  # sent per second
+    bytes: float  # sent per second
     kills: int
-    first: tuple[float, ...]  # from each kill until some living member held it gone
-    half: tuple[float, ...]  # until half of those that live did
-    all: tuple[float, ...]  # until all of those that live did; -1 for never within the run
-    accusations: float  # false, an hour: suspicions of one that lives
-    verdicts: float  # false, an hour: members that said themselves that one that lives is gone
-    deaths: float  # false, an hour: views that held one that lives gone
+    first: tuple[float, ...]  # from each kill until the first live member saw it as gone
+    half: tuple[float, ...]  # until half of the live members did
+    all: tuple[float, ...]  # until all live members did; -1 for never within the run
+    accusations: float  # false, per hour: suspicions of a live member
+    verdicts: float  # false, per hour: members that themselves declared a live member gone
+    deaths: float  # false, per hour: views in which a live member became gone
     wall: float
 
 
 class Pauses:
-    """Each member by turns runs and is paused: so large a share of the fleet is paused at any time."""
+    """Pauses and resumes each member at random, so that on average `share` of the fleet is paused."""
 
     def __init__(self, fleet: Fleet, share: float, span: float, until: int) -> None:
         self._fleet, self._span, self._until = fleet, span, until
-        self._runs = span * (1 - share) / share
-        self._chance = random.Random(fleet.chance.getrandbits(60))
+        self._mean_run_s = span * (1 - share) / share
+        self._rng = random.Random(fleet.rng.getrandbits(60))
         for node in fleet.nodes:
-            fleet.later(self._run_span(), self._begin, node)
+            fleet.schedule(self._draw_run_time(), self._pause, node)
 
-    def _run_span(self) -> int:
-        return round(self._chance.expovariate(1 / self._runs) * SECOND)
+    def _draw_run_time(self) -> int:
+        return round(self._rng.expovariate(1 / self._mean_run_s) * SECOND)
 
-    def _begin(self, node: Node) -> None:
+    def _pause(self, node: Node) -> None:
         if self._fleet.now < self._until and not node.dead:
             node.pause()
-            self._fleet.later(round(self._span * SECOND), self._end, node)
+            self._fleet.schedule(round(self._span * SECOND), self._resume, node)
 
-    def _end(self, node: Node) -> None:
+    def _resume(self, node: Node) -> None:
         node.resume()
-        self._fleet.later(self._run_span(), self._begin, node)
+        self._fleet.schedule(self._draw_run_time(), self._pause, node)
 
 
 def measure(
@@ -73,10 +73,10 @@
     kills: int = 3,
     rules: Rules | None = None,
 ) -> Row:
-    """One run: trouble throughout, kills spread over its middle."""
-    began = time.monotonic()
-    fleet = Fleet(size, seed, rules, make=WAYS[way])
-    fleet.run(SETTLED * SECOND)
+    """Run one fleet under a fault throughout, with kills spread over the middle of the run."""
+    started_at = time.monotonic()
+    fleet = Fleet(size, seed, rules, make=DETECTORS[way])
+    fleet.run(WARM_UP_S * SECOND)
     before = [dict(node.counts) for node in fleet.nodes]
     died: dict[str, int] = {}
     seen: dict[str, dict[str, int]] = defaultdict(dict)
@@ -105,7 +105,7 @@
             died[victim.name] = fleet.now
             victim.kill()
 
-        fleet.later(round((0.2 + 0.4 * number / max(len(victims), 1)) * seconds * SECOND), kill)
+        fleet.schedule(round((0.2 + 0.4 * number / max(len(victims), 1)) * seconds * SECOND), kill)
     fleet.run(end)
     living = [node for node in fleet.nodes if not node.dead]
     hours = size * seconds / 3600
@@ -132,16 +132,16 @@
         len(died),
         *(tuple(spread[which]) for which in ("first", "half", "all")),
         *(round(counts[what] / hours, 3) for what in ("accusations", "verdicts", "deaths")),
-        round(time.monotonic() - began, 1),
+        round(time.monotonic() - started_at, 1),
     )
 
 
-def summary(rows: list[Row]) -> dict[str, float]:
-    """Over several seeds: medians of rates, quantiles of times."""
+def summarize(rows: list[Row]) -> dict[str, float]:
+    """Summarize runs of several seeds: means of rates, quantiles of times."""
     out: dict[str, float] = {}
     for which in ("first", "half", "all"):
-        times = sorted(one for row in rows for one in getattr(row, which) if one >= 0)
-        missed = sum(one < 0 for row in rows for one in getattr(row, which))
+        times = sorted(duration for row in rows for duration in getattr(row, which) if duration >= 0)
+        missed = sum(duration < 0 for row in rows for duration in getattr(row, which))
         if times:
             out |= {
                 f"{which}_p50": statistics.median(times),
@@ -155,7 +155,7 @@
 
 
 def read_rows(path: Path) -> list[Row]:
-    """What `sweep` wrote so far."""
+    """Read the rows that `sweep` has written so far."""
     if not path.exists():
         return []
     return [msgspec.json.decode(line, type=Row) for line in path.read_bytes().splitlines()]
@@ -171,7 +171,7 @@
     workers: int,
     out: Path,
 ) -> Iterator[str]:
-    """Every combination that does not stand in the file yet; a line for each group at the end."""
+    """Measure every combination that is not in the file yet; then yield a summary line for each group."""
     done = {(row.way, row.size, row.trouble, row.seed, row.suspicion) for row in read_rows(out)}
     wanted = [
         (way, size, trouble, seed, suspicion)
@@ -194,7 +194,7 @@
     for row in read_rows(out):
         groups[row.size, row.trouble, row.way, row.suspicion].append(row)
     for (size, trouble, way, suspicion), rows in sorted(groups.items()):
-        found = summary(rows)
+        found = summarize(rows)
         times = " ".join(
             f"{which} {found.get(f'{which}_p50', -1):.1f}/{found.get(f'{which}_max', -1):.1f}"
             f" missed {found[f'{which}_missed']}"
--- a/millweir/lab/fleet.py
+++ b/millweir/lab/fleet.py
@@ -1,6 +1,6 @@
-"""A fleet of members in one process, on a seeded network in simulated time (nanoseconds).
+"""Simulates a fleet of members in one process, on a seeded network in simulated time (nanoseconds).
 
-The core is the one that the relay runs.  The same seed gives the same course to the last datagram.
+The core is the one that the relay runs.  The same seed gives the same run, down to each datagram.
 """
 
 from __future__ import annotations
@@ -21,98 +21,109 @@
 )
 from millweir.members.seal import HEAD
 
-OVERHEAD = HEAD.size + 28  # bytes of the seal, and of the headers below it
+OVERHEAD = HEAD.size + 28  # bytes of the seal and of the IP and UDP headers
 PORT = 7946
 Make = Callable[..., Core]
 
 
 class Node:
-    """One simulated member: the core's port, and what a process of it would do."""
-
-    __slots__ = ("core", "counts", "dead", "due", "early", "fleet", "inbox", "kept", "name", "paused")
+    """One simulated member: implements the core's port and simulates its process."""
+
+    __slots__ = (
+        "core",
+        "counts",
+        "dead",
+        "timer_at",
+        "early",
+        "fleet",
+        "inbox",
+        "saved_incarnation",
+        "name",
+        "paused",
+    )
 
     def __init__(self, fleet: Fleet, name: str) -> None:
         self.fleet, self.name = fleet, name
         self.core: Core | None = None
         self.dead = self.paused = False
-        self.due = 0
+        self.timer_at = 0
         self.early = 0  # nanoseconds by which its timers fire early
-        self.kept = 0
+        self.saved_incarnation = 0
         self.inbox: list[object] = []
         self.counts = {"datagrams": 0, "bytes": 0, "wholes": 0, "said": {}}
 
-    # The core's port.
+    # Port of the core.
 
     def send(self, to: Address, version: int, datagram: Datagram) -> None:
         self.counts["datagrams"] += 1
         size = len(encode(datagram)) + OVERHEAD
         self.counts["bytes"] += size
-        self.fleet.carry(self, to, datagram)
+        self.fleet.transmit(self, to, datagram)
 
     def request_full_state(self, to: Address) -> None:
         other = self.fleet.at.get(to)
         if other and not (self.fleet.cut(self.name, other.name) or self.fleet.cut(other.name, self.name)):
             self.counts["wholes"] += 1
-            mine = self.core.build_full_state(1)
-            self.counts["bytes"] += len(encode(mine)) + 6 * 40
-            self.fleet.later(self.fleet.delay() * 3, other.whole_asked, self, mine)
+            own_state = self.core.build_full_state(1)
+            self.counts["bytes"] += len(encode(own_state)) + 6 * 40
+            self.fleet.schedule(self.fleet.delay() * 3, other.receive_state_request, self, own_state)
 
     def set_timer(self, at: int) -> None:
-        self.due = at
-        after = at - self.fleet.now
-        self.fleet.later(after - self.early if after > self.early else after, self.woken, at)
+        self.timer_at = at
+        delay = at - self.fleet.now
+        self.fleet.schedule(delay - self.early if delay > self.early else delay, self.run_timers, at)
 
     def notify_status_change(self, change: Change) -> None:
         self.fleet.watch(self, change)
 
     def save_incarnation(self, incarnation: int) -> None:
-        self.kept = incarnation
+        self.saved_incarnation = incarnation
 
     def log_event(self, event: str, **fields: object) -> None:
-        said = self.counts["said"]
-        said[event] = said.get(event, 0) + 1
+        counts_by_event = self.counts["said"]
+        counts_by_event[event] = counts_by_event.get(event, 0) + 1
 
-    # What happens to it.
+    # Events.
 
-    def woken(self, at: int) -> None:
-        if at == self.due and not self.dead and not self.paused:
+    def run_timers(self, at: int) -> None:
+        if at == self.timer_at and not self.dead and not self.paused:
             self.core.time_passed(self.fleet.now)
 
-    def get(self, told: ReceivedDatagram) -> None:
+    def receive_datagram(self, datagram: ReceivedDatagram) -> None:
         if self.dead:
             return
         if self.paused:
             if len(self.inbox) < 1000:  # a socket's buffer
-                self.inbox.append(told)
+                self.inbox.append(datagram)
             return
-        self.core.receive_datagram(self.fleet.now, told)
+        self.core.receive_datagram(self.fleet.now, datagram)
 
-    def whole_asked(self, asker: Node, whole: FullState) -> None:
+    def receive_state_request(self, requester: Node, state: FullState) -> None:
         if self.dead or self.paused:
             return
-        answer = self.core.build_full_state(whole.sender.max_version)
-        self.counts["bytes"] += len(encode(answer))
-        self.core.receive_full_state(self.fleet.now, whole)
-        self.fleet.later(self.fleet.delay(), asker.whole_answered, answer)
+        reply = self.core.build_full_state(state.sender.max_version)
+        self.counts["bytes"] += len(encode(reply))
+        self.core.receive_full_state(self.fleet.now, state)
+        self.fleet.schedule(self.fleet.delay(), requester.receive_state_reply, reply)
 
-    def whole_answered(self, whole: FullState) -> None:
+    def receive_state_reply(self, state: FullState) -> None:
         if not self.dead and not self.paused:
-            self.core.receive_full_state(self.fleet.now, whole)
+            self.core.receive_full_state(self.fleet.now, state)
 
     def pause(self) -> None:
         self.paused = True
 
     def resume(self) -> None:
-        """As a loop does it: timers that are due first, then what lies in the socket."""
+        """Resume as an event loop does: first the timers that are due, then the datagrams in the socket."""
         if self.dead or not self.paused:
             return
         self.paused = False
         now = self.fleet.now
-        if self.due <= now:
+        if self.timer_at <= now:
             self.core.time_passed(now)
         inbox, self.inbox = self.inbox, []
-        for told in inbox:
-            self.core.receive_datagram(now, told)
+        for datagram in inbox:
+            self.core.receive_datagram(now, datagram)
 
     def kill(self) -> None:
         self.dead = True
@@ -132,11 +143,11 @@
         delay: tuple[int, int] = (200_000, 2_000_000),
         known: bool = True,
     ) -> None:
-        """`known`: all hold each other for alive at the start; else they find each other by two seeds."""
+        """`known`: all see each other as alive at the start; otherwise they join through two seeds."""
         self.now = 0
         self.loss, self._delay = loss, delay
-        self.chance = random.Random(seed)
-        self._heap: list[tuple] = []
+        self.rng = random.Random(seed)
+        self._events: list[tuple] = []
         self._number = 0
         self.rules = rules or Rules()
         self.cut: Callable[[str, str], bool] = lambda start, end: False
@@ -160,66 +171,68 @@
 
     def claim(self, node: Node, incarnation: int) -> MemberRecord:
         host, port = self.address(node)
-        birth = self.chance.getrandbits(62)
+        birth = self.rng.getrandbits(62)
         return MemberRecord(node.name, birth, incarnation, ReportedState.ALIVE, host, port, node.name, 1, 2)
 
-    def start(self, node: Node, kept: int = 0, contacts: Iterable[Address] | None = None) -> None:
-        """A new process of it; `kept`: the incarnation that its folder holds."""
+    def start(
+        self, node: Node, saved_incarnation: int = 0, contacts: Iterable[Address] | None = None
+    ) -> None:
+        """Start a new process of a member; `saved_incarnation` is the incarnation saved in its folder."""
         node.dead = node.paused = False
         node.inbox.clear()
         seeds = [self.address(other) for other in self.nodes[:2]] if contacts is None else contacts
         node.core = self.make(
             node,
             self.rules,
-            random.Random(self.chance.getrandbits(63)),
+            random.Random(self.rng.getrandbits(63)),
             self.now,
-            self.claim(node, kept),
+            self.claim(node, saved_incarnation),
             seeds,
         )
         node.core.time_passed(self.now)
 
     def delay(self) -> int:
-        return self.chance.randint(*self._delay)
+        return self.rng.randint(*self._delay)
 
-    def carry(self, node: Node, to: Address, datagram: Datagram) -> None:
+    def transmit(self, node: Node, to: Address, datagram: Datagram) -> None:
         other = self.at.get(to)
         if other is None or self.cut(node.name, other.name):
             return
-        if self.loss and self.chance.random() < self.loss:
+        if self.loss and self.rng.random() < self.loss:
             return
-        self.later(self.delay(), self._deliver, other, datagram)
+        self.schedule(self.delay(), self._deliver, other, datagram)
 
     def _deliver(self, other: Node, datagram: Datagram) -> None:
-        other.get(decode_datagram(encode(datagram)))
+        other.receive_datagram(decode_datagram(encode(datagram)))
 
-    def later(self, after: int, what: Callable[..., None], *args: object) -> None:
+    def schedule(self, delay: int, action: Callable[..., None], *args: object) -> None:
         self._number += 1
-        heapq.heappush(self._heap, (self.now + max(after, 0), self._number, what, args))
+        heapq.heappush(self._events, (self.now + max(delay, 0), self._number, action, args))
 
     def run(self, until: int) -> None:
-        heap = self._heap
-        while heap and heap[0][0] <= until:
-            self.now, _, what, args = heapq.heappop(heap)
-            what(*args)
+        events = self._events
+        while events and events[0][0] <= until:
+            self.now, _, action, args = heapq.heappop(events)
+            action(*args)
         self.now = until
 
-    # What it came to.
+    # Results.
 
     @property
-    def living(self) -> list[Node]:
+    def live_nodes(self) -> list[Node]:
         return [node for node in self.nodes if not node.dead]
 
     def agreed(self) -> bool:
-        """Every living member holds exactly the living for there."""
-        names = {node.name for node in self.living}
+        """Tell whether every live member sees exactly the live members as alive."""
+        names = {node.name for node in self.live_nodes}
         return all(
             {m.record.name for m in node.core.members.values() if m.status is MemberStatus.ALIVE}
             == names - {node.name}
-            for node in self.living
+            for node in self.live_nodes
         )
 
     def until_agreed(self, most: int, step: int = SECOND // 4) -> int:
-        """Nanoseconds until all agree; -1 where they don't within `most`."""
+        """Run until all agree; return the nanoseconds it took, or -1 if they do not within `most`."""
         began = self.now
         while self.now - began < most:
             if self.agreed():
--- a/millweir/lab/history.py
+++ b/millweir/lab/history.py
@@ -1,4 +1,4 @@
-"""What the stand-ins saw, in the order in which they saw it; all that the checker reads."""
+"""Defines the history: events recorded by the stand-ins in order, the only input of the checker."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 import msgspec
 
-steady = time.monotonic_ns
+monotonic_ns = time.monotonic_ns
 
 
-class Seen(msgspec.Struct, frozen=True, tag_field="seen", omit_defaults=True):
-    """One thing seen, at a steady time in nanoseconds."""
+class Event(msgspec.Struct, frozen=True, tag_field="seen", omit_defaults=True):
+    """One recorded event; `at` is monotonic time in nanoseconds."""
 
     at: int
 
 
-class Offered(Seen, frozen=True, tag="offered"):
+class Offered(Event, frozen=True, tag="offered"):
     """A client wrote the last byte of a request."""
 
     id: str
@@ -27,54 +27,54 @@
     left: int  # nanoseconds in which it may still be delivered
 
 
-class Answered(Seen, frozen=True, tag="answered"):
+class Answered(Event, frozen=True, tag="answered"):
     """The relay answered the client; status 0: the connection ended with no answer."""
 
     id: str
     status: int
 
 
-class Called(Seen, frozen=True, tag="called"):
-    """The last byte of a call came at a host."""
+class Called(Event, frozen=True, tag="called"):
+    """A host received the last byte of a call."""
 
     id: str
     host: str
     call: int
-    shared: int = 0  # number of the call that carried it with others, 0 for one of its own
+    shared: int = 0  # number of the batch call that carried it, 0 for a call of its own
 
 
-class Returned(Seen, frozen=True, tag="returned"):
-    """The host's answer was written, or its connection had ended (status 0)."""
+class Returned(Event, frozen=True, tag="returned"):
+    """The host wrote its response, or the connection had ended (status 0)."""
 
     id: str
     call: int
     status: int
     ran: bool
-    wait: int = 0  # nanoseconds told
+    wait: int = 0  # retry-after in nanoseconds
 
 
-class Noticed(Seen, frozen=True, tag="noticed"):
-    """A notice came at the platform."""
+class Noticed(Event, frozen=True, tag="noticed"):
+    """The platform received a notification."""
 
     id: str
     result: str
 
 
-class Listed(Seen, frozen=True, tag="listed"):
-    """The list that says so of a host was written to the last relay that was there to be told."""
+class Listed(Event, frozen=True, tag="listed"):
+    """A host list with this status of the host was written to the last of the connected relays."""
 
     host: str
     status: str
 
 
-class Fallen(Seen, frozen=True, tag="fallen"):
-    """A cold destination got more calls than it bears."""
+class Fallen(Event, frozen=True, tag="fallen"):
+    """A recovering host got more calls than it can serve, and failed again."""
 
     host: str
     calls: int
 
 
-class Struck(Seen, frozen=True, tag="struck"):
+class Struck(Event, frozen=True, tag="struck"):
     """A fault began or ended (`over`)."""
 
     kind: str
@@ -82,8 +82,8 @@
     over: bool = False
 
 
-class Ready(Seen, frozen=True, tag="ready"):
-    """A relay's process answered that it may be used."""
+class Ready(Event, frozen=True, tag="ready"):
+    """A relay's process reported that it is ready."""
 
     relay: str
 
@@ -92,17 +92,17 @@
 
 
 class History:
-    """Rows in memory, written as JSON lines at the end."""
+    """Recorded events in memory; written as JSON lines at the end of a run."""
 
     __slots__ = ("rows",)
 
-    def __init__(self, rows: list[Seen] | None = None) -> None:
-        self.rows: list[Seen] = rows if rows is not None else []
+    def __init__(self, rows: list[Event] | None = None) -> None:
+        self.rows: list[Event] = rows if rows is not None else []
 
-    def add(self, row: Seen) -> None:
+    def add(self, row: Event) -> None:
         self.rows.append(row)
 
-    def of(self, kind: type) -> Iterator[Seen]:
+    def select(self, kind: type) -> Iterator[Event]:
         return (row for row in self.rows if type(row) is kind)
 
     def write(self, path: Path) -> None:
--- a/millweir/lab/outages/__init__.py
+++ b/millweir/lab/outages/__init__.py
@@ -1,1 +1,1 @@
-"""Outages drawn from a seed, played by a fleet of the relay's own decisions in simulated time."""
+"""Simulates seeded outages of a destination for a fleet of relays' decision modules."""
--- a/millweir/lab/outages/budget.py
+++ b/millweir/lab/outages/budget.py
@@ -1,6 +1,7 @@
-"""The bound on what a destination that has come back may be sent, by all relays together (rule 4).
+"""Bounds the calls that a recovering destination may receive from all relays together (slow start, rule 4).
 
-In any window of the fall time: N calls, N being what the settings allow it then, and what chance explains.
+In any window of the settings' overload time (`fall-us`) it may receive the N calls that the settings allow at
+that moment, plus a margin for random variation.
 """
 
 from __future__ import annotations
@@ -11,39 +12,41 @@
 from millweir.interface import SECOND
 from millweir.lab.outages.scenario import OutageScenario
 
-TOLD_SHARE = 2 / 3  # of the calls in a window; up to that, relays are not held responsible
-FEW = 30  # fewer calls than this are given more to chance
+MIN_AWARE_SHARE = 2 / 3  # a window counts only if more of its calls than this came from aware relays
+SMALL_WINDOW_CALLS = 30  # windows that allow fewer calls get a wider margin for random variation
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A call that reached the destination after its return."""
+    """A call that reached the destination after the end of an outage."""
 
     at: int
-    told: bool  # its relay saw a call fail or be refused during the outage, in an earlier life too
+    relay_aware: bool  # its relay saw a call fail or be refused during the outage, also before a restart
 
 
-def allowed_calls(scenario: OutageScenario, since_return: float) -> float:
-    """N of the window whose middle is so long (nanoseconds) after the return."""
-    warmth = scenario.cold_from + (1 - scenario.cold_from) * since_return / scenario.cold_time
-    capacity = scenario.rate * min(1.0, warmth)
+def compute_allowed_calls(scenario: OutageScenario, since_return: float) -> float:
+    """Return N for the window whose middle is `since_return` nanoseconds after the outage ended."""
+    capacity_share = scenario.cold_from + (1 - scenario.cold_from) * since_return / scenario.cold_time
+    capacity = scenario.rate * min(1.0, capacity_share)
     return scenario.fall_multiple * capacity * scenario.fall_time / SECOND
 
 
-def bound(allowed: float) -> float:
-    """The calls beyond which the destination falls."""
-    if allowed < FEW:
+def compute_call_bound(allowed: float) -> float:
+    """Return the number of calls above which the destination counts as overloaded."""
+    if allowed < SMALL_WINDOW_CALLS:
         return allowed + 3 * allowed**0.5 + 3
     return allowed + 2 * allowed**0.5 + 2
 
 
-def worst_window(scenario: OutageScenario, arrivals: list[Arrival], back_at: int) -> float:
-    """The largest part of the bound that any window got, of those that mostly told relays filled."""
-    worst = 0.0
+def compute_worst_window_ratio(scenario: OutageScenario, arrivals: list[Arrival], outage_end: int) -> float:
+    """Return the largest ratio of calls to bound in any window whose calls came mostly from aware relays."""
+    worst_ratio = 0.0
     times = [arrival.at for arrival in arrivals]
-    for first, begin in enumerate(times):
-        window = arrivals[first : bisect_left(times, begin + scenario.fall_time)]
-        if sum(arrival.told for arrival in window) > TOLD_SHARE * len(window):
-            middle = begin + scenario.fall_time / 2 - back_at
-            worst = max(worst, len(window) / bound(allowed_calls(scenario, middle)))
-    return worst
+    for first, start in enumerate(times):
+        window = arrivals[first : bisect_left(times, start + scenario.fall_time)]
+        if sum(arrival.relay_aware for arrival in window) > MIN_AWARE_SHARE * len(window):
+            window_middle = start + scenario.fall_time / 2 - outage_end
+            worst_ratio = max(
+                worst_ratio, len(window) / compute_call_bound(compute_allowed_calls(scenario, window_middle))
+            )
+    return worst_ratio
--- a/millweir/lab/outages/scenario.py
+++ b/millweir/lab/outages/scenario.py
@@ -1,4 +1,4 @@
-"""What is played: an outage, what crosses it, and the fleet that meets it; all drawn from one seed."""
+"""Draws an outage scenario from a seed: the outage, the fleet and an operation that overlaps the outage."""
 
 from __future__ import annotations
 
@@ -15,60 +15,62 @@
     """What happens to calls that arrive during the outage."""
 
     DOWN = "down"  # connections are refused
-    UNREACHABLE = "unreachable"  # connections never come up
-    SILENT = "silent"  # calls are taken and never answered
-    HUNG = "hung"  # calls are taken, and answered once the outage is over
-    SHUT = "shut"  # calls are refused; a part of the refusals tells the moment of the return
+    UNREACHABLE = "unreachable"  # connection attempts time out
+    SILENT = "silent"  # calls are accepted and never answered
+    HUNG = "hung"  # calls are accepted, and answered after the outage has ended
+    SHUT = "shut"  # calls are refused; some refusals carry a retry-after up to the end of the outage
     FAILING = "failing"  # most calls fail
     RESET = "reset"  # connections break under the calls
 
 
 class Crossing(Enum):
-    """What else happens to the fleet during the outage."""
+    """An operation or a second fault that overlaps the outage."""
 
     NOTHING = "nothing"
-    RESTART = "restart"  # all relays are killed and started again, within a second
+    RESTART = "restart"  # all relays are killed and restarted within a second
     RESTART_TWICE = "restart-twice"
     ROLLING_RESTART = "rolling-restart"
-    REPLACEMENT = "replacement"  # a process beside each one takes over, as in an upgrade
-    LIST_AWAY = "list-away"  # restarted without a list of hosts, which comes with the return
-    RELISTED = "relisted"  # the hosts leave the list, and are in it again with the return
-    RELISTED_LATE = "relisted-late"  # the same, after the relays have forgotten the hosts
-    DRAIN_UNDONE = "drain-undone"  # the hosts drain until the return
-    CORDON_LIFTED = "cordon-lifted"  # the hosts are out by hand until the return
-    SECOND_OUTAGE = "second-outage"  # back for a moment, and out again
+    REPLACEMENT = (
+        "replacement"  # a new process takes over from each relay while the old one drains, as in an upgrade
+    )
+    LIST_AWAY = "list-away"  # relays restart without a host list; it arrives when the outage ends
+    RELISTED = "relisted"  # the hosts leave the host list and rejoin it when the outage ends
+    RELISTED_LATE = "relisted-late"  # the same, after the relays have dropped the hosts' state
+    DRAIN_UNDONE = "drain-undone"  # the hosts are draining until the outage ends
+    CORDON_LIFTED = "cordon-lifted"  # the operator cordons the hosts until the outage ends
+    SECOND_OUTAGE = "second-outage"  # the destination is available for a moment, then fails again
 
 
-FORGETTING = 65 * SECOND  # longer than a relay keeps a host that the list names no more
+LATE_RELIST_DELAY_NS = 65 * SECOND  # longer than a relay keeps the state of a host that left the host list
 
 
 @dataclass(frozen=True, slots=True)
 class OutageScenario:
-    """One outage of one destination; rates are calls a second over all relays."""
+    """One outage of one destination; rates are calls per second summed over all relays."""
 
     relays: int
-    rate: float  # listed, and the capacity of the destination (of each host, where they are apart)
-    load: float  # asked for, as a part of that rate
+    rate: float  # listed rate, and capacity of the destination (of each host if `hosts_apart`)
+    load: float  # requested, as a fraction of `rate`
     hosts: int
-    hosts_apart: bool  # each host is a destination of its own, with its own limit and outage
-    skew: float  # 0: even traffic; 1: the n-th relay gets 1/n of the first one's
-    configured: float  # relays in the settings, as a part of those alive
+    hosts_apart: bool  # each host is its own destination, with its own rate limit and outage
+    skew: float  # 0: even traffic; 1: the n-th relay gets 1/n of the first relay's traffic
+    configured: float  # number of relays in the settings, as a fraction of the live relays
     kind: OutageKind
-    told_share: float  # of the refusals of a shut destination that tell its return
-    failing_share: float  # of the calls to a failing one
-    limit_wait_share: float  # of the refusals above the rate that tell a wait
-    warm_up: int  # before the outage
+    told_share: float  # fraction of a shut destination's refusals that carry a retry-after
+    failing_share: float  # fraction of calls to a failing destination that fail
+    limit_wait_share: float  # fraction of rate-limit refusals that carry a retry-after
+    warm_up: int  # duration before the outage
     span: int
     crossing: Crossing
-    crossing_lead: int  # how long before the return it happens
-    give_up: int  # the time of each message
+    crossing_lead: int  # how long before the end of the outage the operation happens
+    give_up: int  # time allowed for each message
     cold_from: float
     cold_time: int
     fall_time: int
     fall_multiple: float
 
-    def settings(self) -> Settings:
-        """Those of one relay."""
+    def build_settings(self) -> Settings:
+        """Build the settings of one relay."""
         grades = [
             grade | {"give-up-us": self.give_up // 1000, "dedup-window-us": self.give_up // 2000}
             for grade in SETTINGS["grades"]
@@ -91,35 +93,35 @@
 
 
 def draw_scenario(seed: int) -> OutageScenario:
-    """The same seed gives the same scenario."""
-    chance = random.Random(f"outage {seed}")
-    relays = chance.choice((2, 5, 5, 12, 30, 30, 46, 51, 51, 100))
-    large = relays >= 30 and chance.random() < 0.1  # beyond thirty calls in the fall time
-    kind = chance.choice((*OutageKind, OutageKind.SHUT, OutageKind.SHUT))
-    crossing = chance.choice((*Crossing, Crossing.RESTART, Crossing.ROLLING_RESTART))
-    span = round(chance.uniform(4, 14) * SECOND)
+    """Draw a scenario; the same seed gives the same scenario."""
+    rng = random.Random(f"outage {seed}")
+    relays = rng.choice((2, 5, 5, 12, 30, 30, 46, 51, 51, 100))
+    large = relays >= 30 and rng.random() < 0.1  # more than thirty calls allowed within `fall_time`
+    kind = rng.choice((*OutageKind, OutageKind.SHUT, OutageKind.SHUT))
+    crossing = rng.choice((*Crossing, Crossing.RESTART, Crossing.ROLLING_RESTART))
+    span = round(rng.uniform(4, 14) * SECOND)
     if crossing is Crossing.RELISTED_LATE:
-        span += FORGETTING
-    hosts = chance.choice((1, 1, 1, 2, 3))
+        span += LATE_RELIST_DELAY_NS
+    hosts = rng.choice((1, 1, 1, 2, 3))
     return OutageScenario(
         relays=relays,
-        rate=chance.uniform(30, 45) if large else chance.uniform(2.5, 8),
-        load=chance.choice((0.5, 0.8, 0.8, 1.0, 1.5)),
+        rate=rng.uniform(30, 45) if large else rng.uniform(2.5, 8),
+        load=rng.choice((0.5, 0.8, 0.8, 1.0, 1.5)),
         hosts=hosts,
-        hosts_apart=hosts > 1 and chance.random() < 0.5,
-        skew=chance.choice((0.0, 0.0, 0.0, 0.5, 1.0)),
-        configured=chance.choice((1.0, 1.0, 1.0, 1.5, 2 / 3)),
+        hosts_apart=hosts > 1 and rng.random() < 0.5,
+        skew=rng.choice((0.0, 0.0, 0.0, 0.5, 1.0)),
+        configured=rng.choice((1.0, 1.0, 1.0, 1.5, 2 / 3)),
         kind=kind,
-        told_share=chance.choice((0.0, 0.0, 0.1, 0.5, 1.0)),
-        failing_share=chance.uniform(0.7, 0.95),
-        limit_wait_share=chance.choice((0.0, 0.1, 0.8)),
-        warm_up=round(chance.uniform(4, 14) * SECOND),
+        told_share=rng.choice((0.0, 0.0, 0.1, 0.5, 1.0)),
+        failing_share=rng.uniform(0.7, 0.95),
+        limit_wait_share=rng.choice((0.0, 0.1, 0.8)),
+        warm_up=round(rng.uniform(4, 14) * SECOND),
         span=span,
         crossing=crossing,
-        crossing_lead=round(chance.choice((0.0, 0.5, 1.0, 2.0, 5.0)) * SECOND),
-        give_up=chance.choice((8, 16, 30)) * SECOND,
-        cold_from=chance.uniform(0.13, 0.25),
-        cold_time=round(chance.uniform(7, 10.5) * SECOND),
-        fall_time=chance.choice((1500, 2000, 3000)) * MILLISECOND,
-        fall_multiple=chance.choice((2.0, 2.5)),
+        crossing_lead=round(rng.choice((0.0, 0.5, 1.0, 2.0, 5.0)) * SECOND),
+        give_up=rng.choice((8, 16, 30)) * SECOND,
+        cold_from=rng.uniform(0.13, 0.25),
+        cold_time=round(rng.uniform(7, 10.5) * SECOND),
+        fall_time=rng.choice((1500, 2000, 3000)) * MILLISECOND,
+        fall_multiple=rng.choice((2.0, 2.5)),
     )
--- a/millweir/lab/plots.py
+++ b/millweir/lab/plots.py
@@ -1,4 +1,4 @@
-"""Pictures of what the lab measured (matplotlib, loaded here alone)."""
+"""Plots measurements of the lab (the only importer of matplotlib here)."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 import matplotlib
 
-from millweir.lab.detect import Row, read_rows, summary
+from millweir.lab.detect import Row, read_rows, summarize
 from millweir.members.core import Rules
 
 matplotlib.use("Agg")
 import matplotlib.pyplot as plt  # noqa: E402  (after the choice of a backend without a display)
 
 
-def detection(rows_file: Path, picture: Path) -> None:
-    """By fleet size: time to detect, false deaths, bytes; a line a way and trouble."""
+def plot_detection(rows_file: Path, picture: Path) -> None:
+    """Plot detection time, false deaths and bytes by fleet size, one line per detector and fault."""
     groups: dict[tuple[str, str], dict[int, list[Row]]] = defaultdict(lambda: defaultdict(list))
     for row in read_rows(rows_file):
         if row.suspicion == Rules().suspicion_multiplier:
@@ -30,7 +30,7 @@
     colours = dict(zip(dict.fromkeys(way for way, _ in groups), plt.cm.tab10.colors, strict=False))
     for axis, (field, label, scale) in zip(axes, fields, strict=True):
         for (way, trouble), sizes in sorted(groups.items()):
-            points = sorted((size, summary(rows).get(field)) for size, rows in sizes.items())
+            points = sorted((size, summarize(rows).get(field)) for size, rows in sizes.items())
             points = [point for point in points if point[1] is not None]
             axis.plot(
                 [size for size, _ in points],
--- a/millweir/lab/processes.py
+++ b/millweir/lab/processes.py
@@ -1,4 +1,4 @@
-"""Real relays as processes: started, stopped, starved, killed, and asked what they see."""
+"""Runs relays as processes: starts, stops, starves and kills them, and queries their view of the members."""
 
 from __future__ import annotations
 
@@ -16,27 +16,29 @@
 from typing import Any
 
 ROOT = Path(__file__).parent.parent.parent
-RUN = "trap '' HUP; exec \"$@\""  # as the deploy file has it
-SLICE = 0.2  # seconds of a starved process's turns
+RUN = "trap '' HUP; exec \"$@\""  # the same command as in the deploy file
+STARVED_SLICE_S = 0.2  # time that a starved process runs at a stretch
 Address = tuple[str, int]
 
 
-class TookTooLong(Exception):
-    """A bounded wait ran out; the text says what was waited for."""
+class WaitTimeout(Exception):
+    """A bounded wait timed out; the message names what was waited for."""
 
 
-async def until(what: Callable[[], Any], seconds: float, waited_for: str, step: float = 0.02) -> Any:
-    """Wait on an observed state, never on a guess; returns what was found."""
+async def wait_until(
+    condition: Callable[[], Any], seconds: float, waited_for: str, step: float = 0.02
+) -> Any:
+    """Poll until the state is observed, and return the result; raise WaitTimeout after `seconds`."""
     end = time.monotonic() + seconds
-    while not (found := what()):
+    while not (result := condition()):
         if time.monotonic() > end:
-            raise TookTooLong(f"{waited_for}: not within {seconds} s")
+            raise WaitTimeout(f"{waited_for}: not within {seconds} s")
         await asyncio.sleep(step)
-    return found
+    return result
 
 
 class Relay:
-    """One relay's process, folder and log; what it is told is fixed, its processes come and go."""
+    """One relay: its folder, log and configuration, which outlast its successive processes."""
 
     def __init__(
         self,
@@ -50,7 +52,7 @@
         self._config = config
         self.process: subprocess.Popen | None = None
         self.stopped = self.killed = False
-        self._read_to = 0
+        self._log_offset = 0
         self.events: list[dict] = []
         folder.mkdir(parents=True)
         (folder / "state").mkdir()
@@ -64,11 +66,11 @@
 
     @property
     def up(self) -> bool:
-        """There and able to answer."""
+        """Running and not stopped."""
         return self.alive and not self.stopped
 
     def spawn(self, held: bool = False) -> None:
-        """Start a process; `held`: stopped at once, for a slow start."""
+        """Start a process; `held`: stop it at once, to delay its start."""
         config = self.folder / "config.json"
         config.write_text(json.dumps(self._config()))
         env = os.environ | {
@@ -95,14 +97,14 @@
 
     async def ready(self, seconds: float = 15.0) -> None:
         end, process = time.monotonic() + seconds, self.process
-        while not await self._asked_ready():
+        while not await self._is_ready():
             if self.killed or self.process is not process:
-                return  # by the next fault, which brings it back itself
+                return  # by the next fault, which restarts it itself
             if self.process.poll() is not None or time.monotonic() > end:
-                raise TookTooLong(f"{self.name} is not ready: {self.tail()}")
+                raise WaitTimeout(f"{self.name} is not ready: {self.tail()}")
             await asyncio.sleep(0.03)
 
-    async def _asked_ready(self) -> bool:
+    async def _is_ready(self) -> bool:
         try:
             async with asyncio.timeout(1):
                 reader, writer = await asyncio.open_connection(*self.listen)
@@ -121,30 +123,30 @@
         self.stopped = True
         self.signal(signal.SIGSTOP)
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         self.stopped = False
         self.signal(signal.SIGCONT)
 
     async def starve(self, share: float, seconds: float) -> None:
-        """So small a share of the processor that its turns run late."""
+        """Limit the process to a share of the processor by stopping it periodically, so that it runs late."""
         end = time.monotonic() + seconds
-        slices = SLICE / share
+        period = STARVED_SLICE_S / share
         try:
             while time.monotonic() < end and self.alive:
                 self.signal(signal.SIGSTOP)
-                await asyncio.sleep(slices - SLICE)
+                await asyncio.sleep(period - STARVED_SLICE_S)
                 self.signal(signal.SIGCONT)
-                await asyncio.sleep(SLICE)
+                await asyncio.sleep(STARVED_SLICE_S)
         finally:
             self.signal(signal.SIGCONT)
 
-    def fill(self, full: bool) -> None:
-        """No file of its folder may grow any more, or may again."""
+    def set_disk_full(self, full: bool) -> None:
+        """Simulate a full disk: no file may grow while `full`."""
         if self.alive:
-            most = 0 if full else resource.RLIM_INFINITY
-            resource.prlimit(self.process.pid, resource.RLIMIT_FSIZE, (most, resource.RLIM_INFINITY))
+            limit = 0 if full else resource.RLIM_INFINITY
+            resource.prlimit(self.process.pid, resource.RLIMIT_FSIZE, (limit, resource.RLIM_INFINITY))
 
-    def skew(self, hours: float) -> None:
+    def set_clock_skew(self, hours: float) -> None:
         (self.folder / "skew").write_text(str(hours * 3600))
 
     def kill(self, lose_folder: bool = False) -> None:
@@ -156,23 +158,23 @@
             shutil.rmtree(self.folder / "state", ignore_errors=True)
             (self.folder / "state").mkdir()
 
-    async def end(self, seconds: float = 4.0) -> int:
-        """SIGTERM, and its exit code; a process that outlasts it is killed and said."""
+    async def terminate(self, seconds: float = 4.0) -> int:
+        """Send SIGTERM and return the exit code; raise WaitTimeout if the process does not end."""
         self.signal(signal.SIGTERM)
-        await until(lambda: self.process.poll() is not None, seconds, f"{self.name} ends after SIGTERM")
+        await wait_until(lambda: self.process.poll() is not None, seconds, f"{self.name} ends after SIGTERM")
         self.killed = True
         return self.process.returncode
 
     def read_events(self) -> list[dict]:
-        """The structured events of its log so far, in order; other lines are passed over."""
+        """Return the structured events in its log so far, in order; other lines are skipped."""
         path = self.folder / "log"
         if path.exists():
             with open(path, "rb") as log:
-                log.seek(self._read_to)
+                log.seek(self._log_offset)
                 raw = log.read()
-            whole = raw.rfind(b"\n") + 1
-            self._read_to += whole
-            for line in raw[:whole].splitlines():
+            complete = raw.rfind(b"\n") + 1
+            self._log_offset += complete
+            for line in raw[:complete].splitlines():
                 if line.startswith(b"{"):
                     self.events.append(json.loads(line))
         return self.events
@@ -181,8 +183,8 @@
         path = self.folder / "log"
         return path.read_text()[-size:] if path.exists() else ""
 
-    async def view(self) -> dict | None:
-        """What it holds of the others; None where it does not answer."""
+    async def request_view(self) -> dict | None:
+        """Return its view of the other members; None if it does not answer."""
         try:
             async with asyncio.timeout(1):
                 reader, writer = await asyncio.open_unix_connection(
@@ -195,11 +197,11 @@
         except (OSError, TimeoutError, ValueError):
             return None
 
-    async def seen(self, seconds: float = 30.0) -> dict:
-        """The same, waiting for an answer."""
+    async def wait_for_view(self, seconds: float = 30.0) -> dict:
+        """Return its view, waiting until it answers."""
         end = time.monotonic() + seconds
-        while (view := await self.view()) is None:
+        while (view := await self.request_view()) is None:
             if time.monotonic() > end:
-                raise TookTooLong(f"{self.name} answers no look at its view: {self.tail()}")
+                raise WaitTimeout(f"{self.name} does not answer a request for its view: {self.tail()}")
             await asyncio.sleep(0.05)
         return view
--- a/millweir/lab/scale/membership_simulated.py
+++ b/millweir/lab/scale/membership_simulated.py
@@ -74,7 +74,7 @@
 
 def _simulate(fleet: Fleet, trouble: str, seconds: int) -> SimulationResult:
     result = SimulationResult(trouble, seconds)
-    living = fleet.living
+    living = fleet.live_nodes
     started_at = fleet.now
 
     def count_false_verdicts(node: Node, change: Change) -> None:
--- a/millweir/lab/scale/membership_steps.py
+++ b/millweir/lab/scale/membership_steps.py
@@ -115,7 +115,7 @@
     with counter if steps else contextlib.nullcontext():
         fleet.run(fleet.now + seconds * SECOND)
     datagrams_after, sent_bytes_after = _count_sent(fleet)
-    member_seconds = len(fleet.living) * seconds
+    member_seconds = len(fleet.live_nodes) * seconds
     return MemberCost(
         counter.steps / member_seconds,
         (datagrams_after - datagrams) / member_seconds,
@@ -124,7 +124,7 @@
 
 
 def _count_sent(fleet: Fleet) -> tuple[int, int]:
-    living = fleet.living
+    living = fleet.live_nodes
     return (
         sum(node.counts["datagrams"] for node in living),
         sum(node.counts["bytes"] for node in living),
--- a/millweir/lab/scenario.py
+++ b/millweir/lab/scenario.py
@@ -1,4 +1,4 @@
-"""A scenario of a cluster: size, load and a timeline of faults, as a TOML file; or composed from a seed."""
+"""Defines a cluster scenario: size, load and timed faults, read from a TOML file or drawn from a seed."""
 
 from __future__ import annotations
 
@@ -11,62 +11,64 @@
 from millweir.operator.units import Duration, decode_unit
 
 SECOND = 1_000_000_000
-# "roll" is a planned restart: SIGTERM, then SIGKILL when the platform sends it at the earliest; "kill-twice"
-# kills the next process while it starts; "reload" sends SIGHUP in a row.
+# Faults of relay processes. "roll" is a planned restart: SIGTERM, then SIGKILL at the earliest time at which
+# the platform sends it; "kill-twice" also kills the next process while it starts; "reload" sends SIGHUP
+# several times in a row.
 PROCESS = ("stop", "kill", "lose", "term", "starve", "full", "slow", "skew", "roll", "kill-twice", "reload")
-# Listed as draining; accepts calls and answers none, then is back cold; ends its connections and refuses new
-# ones, then is back cold; runs calls and writes no answer; writes answers that stop short;
-# refuses every call, a share of them with the time until it is back, then is back cold.
+# Faults of hosts. "drain": listed as draining; "hang": accepts calls and answers none; "refuse": resets its
+# connections and refuses new ones; "mute": runs calls and writes no response; "short": truncates its
+# responses; "shut": refuses every call, a share of them with a retry-after until the end of the outage.
+# After "hang", "refuse" and "shut" the host is recovering.
 HOST = ("drain", "hang", "refuse", "mute", "short", "shut")
 LINK = ("cut", "cut-one-way", "loss", "delay", "reorder", "duplicate", "bandwidth", "flap", "split")
 
 
 class Fault(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """One fault: `who` for processes; `start` and `end` for links (all pairs between the two sets)."""
+    """One fault: of `who` (relays or hosts), or of the connections from every `start` to every `end`."""
 
     at: Duration
-    span: Duration = Duration(0)  # how long; a kill's is until the relay starts again, 0 for never
+    span: Duration = Duration(0)  # duration; of a kill: until the relay is restarted, 0 for never
     kind: str
     who: tuple[str, ...] = ()  # relays, or hosts (h0, h1, ...)
     start: tuple[str, ...] = ()
     end: tuple[str, ...] = ()
-    share: float = (
-        0.3  # of loss and duplicates; of the processor that a starved one keeps; told by a shut host
-    )
-    wait: Duration = Duration(0)  # delay, reordering, half a period of flapping, slowness of a start
+    # Of lost or duplicated datagrams; of the processor left to a starved relay; of a shut host's refusals
+    # that carry a retry-after.
+    share: float = 0.3
+    wait: Duration = Duration(0)  # delay, reordering jitter, half a flapping period, or start delay
     bytes_second: float = 20_000.0
-    hours: float = 1.0  # skew
+    hours: float = 1.0  # clock skew
 
     def __post_init__(self) -> None:
         if self.kind not in PROCESS + HOST + LINK:
-            raise ValueError(f"no such fault: {self.kind!r}")
+            raise ValueError(f"unknown fault kind: {self.kind!r}")
 
-    def line(self) -> str:
+    def describe(self) -> str:
         where = ",".join(self.who) or f"{','.join(self.start)}->{','.join(self.end)}"
         return f"{self.at / 1e9:.1f} s {self.kind} {where} for {self.span / 1e9:.1f} s"
 
 
 class Scenario(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True, rename="kebab"):
-    """What is played."""
+    """The parameters of one run."""
 
     relays: int = 5
     span: Duration = Duration(60 * SECOND)
-    calm: Duration = Duration(20 * SECOND)  # at the end, without faults
+    calm: Duration = Duration(20 * SECOND)  # time without faults at the end
     hosts: int = 4
-    rate: float = 20.0  # packets a second, all relays together
-    interval: Duration = Duration(SECOND)  # of the members' probes
+    rate: float = 20.0  # messages per second over all relays
+    interval: Duration = Duration(SECOND)  # between the members' probes
     suspicion: float = 5.0
     doubt_most: Duration = Duration(120 * SECOND)
     key: bool = True
-    bundle: int = 1  # messages in a call
-    crowd: int = 0  # idle connections of clients at each relay
-    members: bool = True  # relays know of each other; without it they are as the platform runs them
-    groups: int = 2  # destinations; the hosts are dealt out over them
-    host_rate: float = 40.0  # calls a second that a warm host takes
-    protocols: dict[str, int] = {}  # relay: highest version of the members' protocol
+    bundle: int = 1  # maximum messages in a batch call
+    crowd: int = 0  # idle client connections at each relay
+    members: bool = True  # relays run the members component; without it they run as the platform starts them
+    groups: int = 2  # destinations, over which the hosts are distributed
+    host_rate: float = 40.0  # calls per second that a host accepts when not recovering
+    protocols: dict[str, int] = {}  # by relay: highest version of the members' protocol
     fault: tuple[Fault, ...] = ()
-    compose: tuple[str, ...] = ()  # kinds drawn by the seed, besides those above
-    every: Duration = Duration(15 * SECOND)  # mean between drawn faults
+    compose: tuple[str, ...] = ()  # fault kinds drawn from the seed, in addition to `fault`
+    every: Duration = Duration(15 * SECOND)  # mean time between drawn faults
 
     @property
     def names(self) -> tuple[str, ...]:
@@ -74,32 +76,32 @@
 
 
 def read_scenario(path: Path) -> Scenario:
-    """ValueError says what is wrong."""
+    """Read and validate a scenario file; raise ValueError for an invalid one."""
     return msgspec.convert(tomllib.loads(path.read_text()), Scenario, dec_hook=decode_unit)
 
 
-def timeline(scenario: Scenario, seed: int) -> list[Fault]:
-    """The faults of a scenario; the same seed gives the same ones."""
-    chance, faults, at = random.Random(seed), list(scenario.fault), 0
+def list_faults(scenario: Scenario, seed: int) -> list[Fault]:
+    """Return the faults of a scenario by start time; the same seed gives the same faults."""
+    rng, faults, at = random.Random(seed), list(scenario.fault), 0
     while scenario.compose:
-        at += round(chance.uniform(0.4, 1.6) * scenario.every)
+        at += round(rng.uniform(0.4, 1.6) * scenario.every)
         if at >= scenario.span - scenario.calm:
             break
-        faults.append(_drawn(scenario, chance, at))
+        faults.append(_draw_fault(scenario, rng, at))
     return sorted(faults, key=lambda fault: fault.at)
 
 
-def _drawn(scenario: Scenario, chance: random.Random, at: int) -> Fault:
-    kind = chance.choice(scenario.compose)
-    most = (scenario.span - scenario.calm - at) / SECOND
-    span = Duration(round(min(chance.choice((2.0, 5.0, 10.0, 20.0)), most) * SECOND))
+def _draw_fault(scenario: Scenario, rng: random.Random, at: int) -> Fault:
+    kind = rng.choice(scenario.compose)
+    max_seconds = (scenario.span - scenario.calm - at) / SECOND
+    span = Duration(round(min(rng.choice((2.0, 5.0, 10.0, 20.0)), max_seconds) * SECOND))
     names = list(scenario.names)
-    chance.shuffle(names)
+    rng.shuffle(names)
     if kind in PROCESS:
-        # Killed ones stay away long enough to be found, half of the fleet at the most.
-        count = 1 if kind in ("term", "full", "slow", "skew") else chance.randint(1, max(1, len(names) // 2))
+        # Killed relays stay down long enough to be detected; at most half of the fleet fails at once.
+        count = 1 if kind in ("term", "full", "slow", "skew") else rng.randint(1, max(1, len(names) // 2))
         if kind in ("kill", "lose", "term"):
-            span = Duration(round(min(chance.uniform(15, 30), max(most, 1)) * SECOND))
+            span = Duration(round(min(rng.uniform(15, 30), max(max_seconds, 1)) * SECOND))
         elif kind in ("roll", "kill-twice"):
             span = Duration(round(0.6 * SECOND))  # from the kill to the next start
         return Fault(
@@ -107,20 +109,20 @@
             span=span,
             kind=kind,
             who=tuple(names[:count]),
-            share=chance.choice((0.1, 0.3)),
+            share=rng.choice((0.1, 0.3)),
             wait=Duration(2 * SECOND),
-            hours=chance.choice((-1.0, 1.0)),
+            hours=rng.choice((-1.0, 1.0)),
         )
     if kind in HOST:
-        hosts = chance.sample(range(scenario.hosts), chance.randint(1, max(1, scenario.hosts // 2)))
+        hosts = rng.sample(range(scenario.hosts), rng.randint(1, max(1, scenario.hosts // 2)))
         return Fault(at=Duration(at), span=span, kind=kind, who=tuple(f"h{host}" for host in hosts))
-    side = chance.randint(1, len(names) - 1)
+    side = rng.randint(1, len(names) - 1)
     start, end = tuple(names[:side]), tuple(names[side:])
     if kind in ("cut", "cut-one-way", "flap"):
-        start, end = start[:1], end[: chance.randint(1, len(end))]
+        start, end = start[:1], end[: rng.randint(1, len(end))]
     elif kind != "split":
         start = end = tuple(scenario.names)
-    wait = {"flap": SECOND, "delay": round(chance.choice((0.05, 0.3)) * SECOND), "reorder": SECOND // 5}
+    wait = {"flap": SECOND, "delay": round(rng.choice((0.05, 0.3)) * SECOND), "reorder": SECOND // 5}
     return Fault(
         at=Duration(at),
         span=span,
--- a/millweir/lab/skewed/sitecustomize.py
+++ b/millweir/lab/skewed/sitecustomize.py
@@ -1,20 +1,20 @@
-"""Loaded by relays that the rig starts: their wall clock is off by the seconds in the file named."""
+"""Loaded by relays that the rig starts; adds the seconds in the `MILLWEIR_SKEW` file to their wall clock."""
 
 import os
 import time
 
-_PATH = os.environ.get("MILLWEIR_SKEW", "")
-_time, _time_ns = time.time, time.time_ns
+_SKEW_FILE = os.environ.get("MILLWEIR_SKEW", "")
+_real_time, _real_time_ns = time.time, time.time_ns
 
 
-def _skew() -> float:
+def _read_skew_seconds() -> float:
     try:
-        with open(_PATH) as source:
+        with open(_SKEW_FILE) as source:
             return float(source.read() or 0)
     except (OSError, ValueError):
         return 0.0
 
 
-if _PATH:
-    time.time = lambda: _time() + _skew()
-    time.time_ns = lambda: _time_ns() + int(_skew() * 1e9)
+if _SKEW_FILE:
+    time.time = lambda: _real_time() + _read_skew_seconds()
+    time.time_ns = lambda: _real_time_ns() + int(_read_skew_seconds() * 1e9)
--- a/millweir/lab/standins.py
+++ b/millweir/lab/standins.py
@@ -1,6 +1,6 @@
-"""Hosts, discovery, platform and clients as stand-ins on loopback, in the rig's own loop.
+"""Stand-ins on loopback for hosts, discovery, the platform and clients, run in the rig's event loop.
 
-They write down what they saw in the history and nothing of what the program means by it.
+They record in the history what they observe, without interpreting it.
 """
 
 from __future__ import annotations
@@ -13,11 +13,21 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from millweir.lab.history import Answered, Called, Fallen, History, Listed, Noticed, Offered, Returned, steady
+from millweir.lab.history import (
+    Answered,
+    Called,
+    Fallen,
+    History,
+    Listed,
+    Noticed,
+    Offered,
+    Returned,
+    monotonic_ns,
+)
 
 Address = tuple[str, int]
 SECOND = 1_000_000_000
-PATIENCE = 0.4  # seconds that a client waits for its answer
+CLIENT_TIMEOUT_S = 0.4
 
 SETTINGS = {
     "balancers": 5,
@@ -63,7 +73,7 @@
 
 
 async def read_http(reader: asyncio.StreamReader) -> tuple[str, dict[str, str], bytes] | None:
-    """First line, fields and body of one message; None at the end of the connection."""
+    """Read the first line, headers and body of one HTTP message; None at the end of the connection."""
     try:
         head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
         rows = [line.partition(": ") for line in head[1:] if line]
@@ -73,46 +83,47 @@
         return None
 
 
-def answer(status: int, body: bytes = b"", **fields: object) -> bytes:
+def build_response(status: int, body: bytes = b"", **fields: object) -> bytes:
     extra = "".join(f"{name.replace('_', '-')}: {value}\r\n" for name, value in fields.items())
     return f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n{extra}\r\n".encode() + body
 
 
 @dataclass(frozen=True, slots=True)
-class Unfinished:
-    """What is written of an answer before its connection falls silent."""
+class TruncatedResponse:
+    """A truncated response: the part that is written before the connection falls silent."""
 
     raw: bytes
-    ended: Callable[[], None]  # told when the other side has ended the connection
+    on_closed: Callable[[], None]  # called when the peer has closed the connection
 
 
 async def serve(
     address: Address, handle: Callable, open_writers: set[asyncio.StreamWriter] | None = None
 ) -> asyncio.Server:
-    """Answer requests with `handle`; connections that are open stand in `open_writers`."""
+    """Serve requests with `handle`; `open_writers` holds the writers of the open connections."""
     writers = open_writers if open_writers is not None else set()
 
-    async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writers.add(writer)
         try:
             while (message := await read_http(reader)) is not None:
                 work = asyncio.ensure_future(handle(*message))
-                gone = asyncio.ensure_future(reader.read(1))  # nobody asks twice at once
-                await asyncio.wait({work, gone}, return_when=asyncio.FIRST_COMPLETED)
+                # Clients do not pipeline, so this read returns only when the connection ends.
+                closed = asyncio.ensure_future(reader.read(1))
+                await asyncio.wait({work, closed}, return_when=asyncio.FIRST_COMPLETED)
                 if not work.done():
                     work.cancel()
                     return
-                gone.cancel()
+                closed.cancel()
                 with contextlib.suppress(asyncio.CancelledError, OSError):
-                    await gone
+                    await closed
                 raw = work.result()
                 if raw is None:
                     return
-                if isinstance(raw, Unfinished):
+                if isinstance(raw, TruncatedResponse):
                     writer.write(raw.raw)
                     with contextlib.suppress(OSError):
-                        await reader.read()  # to the end of the connection, which the other side has to make
-                    raw.ended()
+                        await reader.read()  # until the peer closes the connection
+                    raw.on_closed()
                     return
                 writer.write(raw)
                 await writer.drain()
@@ -122,14 +133,14 @@
             writers.discard(writer)
             writer.close()
 
-    return await asyncio.start_server(talk, *address, backlog=256)
+    return await asyncio.start_server(serve_connection, *address, backlog=256)
 
 
 class Host:
-    """One host of a partner: a service time, a rate that it takes, and whether it is well.
+    """One host of a destination, with a service time, a rate limit and injected faults.
 
-    Back from an outage it is cold: it bears a share of its rate that grows, and falls over (rule 4) when it
-    gets more than N + 3 root N + 3 calls in the settings' time, N being what they allow it then.
+    After an outage it is recovering: it can serve a growing share of its rate, and fails again (rule 4) when
+    it gets more than N + 3 sqrt(N) + 3 calls in the settings' `fall-us`, N being what they allow it then.
     """
 
     def __init__(
@@ -139,155 +150,161 @@
         rate: float,
         address: Address,
         history: History,
-        chance: random.Random,
+        rng: random.Random,
         calls: list[int],
     ) -> None:
         self.name, self.group, self.rate, self.address = name, group, rate, address
-        self._history, self._chance, self._calls = history, chance, calls
-        self._tokens, self._at = rate, steady()
+        self._history, self._rng, self._calls = history, rng, calls
+        self._tokens, self._tokens_at = rate, monotonic_ns()
         self.hung = self.mute = self.short = False
-        self.shut_until = 0  # refuses every call until then; 0 for open
-        self.told_share = 1.0  # of these refusals that tell so
-        self._cold_at = 0  # when it came back; 0 for warm
-        self._recent: deque[int] = deque()  # calls within the settings' time
+        self.shut_until = 0  # refuses every call until then; 0 when not shut
+        self.retry_after_share = 1.0  # share of these refusals that carry a retry-after
+        self._recovering_since = 0  # start of the recovery; 0 when not recovering
+        self._recent: deque[int] = deque()  # times of the calls within the settings' `fall-us`
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
         self._outages = 0
 
     async def open(self) -> None:
-        self._server = await serve(self.address, self._asked, self._writers)
+        self._server = await serve(self.address, self._handle_call, self._writers)
 
     def close(self) -> None:
         self._server.close()
 
-    def shut(self) -> None:
-        """Its process is gone: connections end by a reset, new ones are refused."""
+    def go_down(self) -> None:
+        """Simulate the end of the host's process: reset connections and refuse new ones."""
         self._outages += 1
         self._server.close()
         for writer in list(self._writers):
             writer.transport.abort()
 
-    async def reopen(self) -> None:
-        """Back, and cold, once the last of its outages is over."""
+    async def come_back(self) -> None:
+        """Accept connections again, as a recovering host, once the last overlapping outage has ended."""
         self._outages -= 1
         if self._outages:
             return
-        self._cold_at = steady()
+        self._recovering_since = monotonic_ns()
         self._recent.clear()
         await self.open()
 
-    def hang(self, on: bool) -> None:
-        """Accept calls and answer none, or come back cold."""
+    def set_hung(self, on: bool) -> None:
+        """Accept calls and answer none, or become a recovering host."""
         self.hung = on
-        self._cold_at = 0 if on else steady()
+        self._recovering_since = 0 if on else monotonic_ns()
         self._recent.clear()
 
-    def shut_for(self, span: int, told_share: float) -> None:
-        """Refuse calls for so long; a part of the refusals tells the moment of the return."""
-        self.shut_until, self.told_share, self._cold_at = steady() + span, told_share, 0
+    def refuse_calls_for(self, span: int, retry_after_share: float) -> None:
+        """Refuse calls for `span`; a share of the refusals carries the remaining time as a retry-after."""
+        self.shut_until, self.retry_after_share, self._recovering_since = (
+            monotonic_ns() + span,
+            retry_after_share,
+            0,
+        )
 
-    def open_again(self) -> None:
-        """Take calls again, cold."""
-        self.shut_until, self._cold_at = 0, steady()
+    def accept_calls_again(self) -> None:
+        """Accept calls again, as a recovering host."""
+        self.shut_until, self._recovering_since = 0, monotonic_ns()
         self._recent.clear()
 
-    def _warmth(self, now: int) -> float:
-        """The share of its rate that it bears."""
-        if not self._cold_at:
+    def _compute_capacity_share(self, now: int) -> float:
+        """Return the share of its rate that it can serve now."""
+        if not self._recovering_since:
             return 1.0
         rules = SETTINGS["obligations"]
-        since = (now - self._cold_at) / (rules["cold-us"] * 1000)
+        since = (now - self._recovering_since) / (rules["cold-us"] * 1000)
         share = rules["cold-from"] + (1 - rules["cold-from"]) * since
         if share >= 1:
-            self._cold_at = 0
+            self._recovering_since = 0
         return min(share, 1.0)
 
-    def _falls(self, now: int, warmth: float) -> None:
+    def _check_overload(self, now: int, capacity_share: float) -> None:
         rules = SETTINGS["obligations"]
         span = rules["fall-us"] * 1000
         self._recent.append(now)
         while self._recent[0] < now - span:
             self._recent.popleft()
-        allowed = self.rate * warmth * rules["fall-multiple"] * span / 1e9
+        allowed = self.rate * capacity_share * rules["fall-multiple"] * span / 1e9
         if len(self._recent) > allowed + 3 * allowed**0.5 + 3:
             self._history.add(Fallen(now, self.name, len(self._recent)))
             self._recent.clear()
 
-    async def _asked(self, line: str, fields: dict[str, str], body: bytes) -> bytes | None:
-        shared = " /hook/batch " in line
-        idents = [row["id"] for row in json.loads(body)] if shared else [fields.get("x-correlation-id", "")]
+    async def _handle_call(self, line: str, fields: dict[str, str], body: bytes) -> bytes | None:
+        in_batch = " /hook/batch " in line
+        idents = [row["id"] for row in json.loads(body)] if in_batch else [fields.get("x-correlation-id", "")]
         calls = range(self._calls[0] + 1, self._calls[0] + 1 + len(idents))
         self._calls[0] += len(idents)
-        now = steady()
+        now = monotonic_ns()
         for ident, call in zip(idents, calls, strict=True):
-            self._history.add(Called(now, ident, self.name, call, calls[0] if shared else 0))
+            self._history.add(Called(now, ident, self.name, call, calls[0] if in_batch else 0))
         status, wait, ran = 200, 0.0, True
-        warmth = self._warmth(now)
-        if self._cold_at:
-            self._falls(now, warmth)
-        rate = self.rate * warmth
-        self._tokens = min(rate, self._tokens + (now - self._at) / 1e9 * rate)
-        self._at = now
+        capacity_share = self._compute_capacity_share(now)
+        if self._recovering_since:
+            self._check_overload(now, capacity_share)
+        rate = self.rate * capacity_share
+        self._tokens = min(rate, self._tokens + (now - self._tokens_at) / 1e9 * rate)
+        self._tokens_at = now
         if self.shut_until:
-            told = self._chance.random() < self.told_share
-            status, wait, ran = 503, max(self.shut_until - now, 0) / SECOND * told, False
+            has_retry_after = self._rng.random() < self.retry_after_share
+            status, wait, ran = 503, max(self.shut_until - now, 0) / SECOND * has_retry_after, False
         elif self._tokens < 1:
-            status, wait, ran = 429, round(self._chance.uniform(0.2, 0.8), 2), False
+            status, wait, ran = 429, round(self._rng.uniform(0.2, 0.8), 2), False
         else:
             self._tokens -= 1
             try:
-                await asyncio.sleep(min(self._chance.lognormvariate(-3.5, 0.6), 2.0))
+                await asyncio.sleep(min(self._rng.lognormvariate(-3.5, 0.6), 2.0))
                 while self.hung:
                     await asyncio.sleep(0.1)
             except asyncio.CancelledError:
-                self._returned(idents, calls, 0, ran, 0.0)
+                self._record_return(idents, calls, 0, ran, 0.0)
                 raise
-        return self._answered(idents, calls, shared, status, ran, wait)
+        return self._respond(idents, calls, in_batch, status, ran, wait)
 
-    def _answered(
-        self, idents: list[str], calls: range, shared: bool, status: int, ran: bool, wait: float
-    ) -> bytes | Unfinished | None:
-        """Write the answer down as far as it counts: one message's from its whole first line on."""
+    def _respond(
+        self, idents: list[str], calls: range, in_batch: bool, status: int, ran: bool, wait: float
+    ) -> bytes | TruncatedResponse | None:
+        """Record and return the response; a single message counts as answered from its first line on."""
         rows = json.dumps([{"id": ident, "state": "accepted"} for ident in idents]).encode()
-        raw = answer(
-            status, rows if shared and status == 200 else b"", **({"Retry-After": wait} if wait else {})
+        raw = build_response(
+            status, rows if in_batch and status == 200 else b"", **({"Retry-After": wait} if wait else {})
         )
         sent = len(raw)
         if self.mute and ran:
             sent = 0
         elif self.short and ran:
-            sent = self._chance.randrange(1, len(raw))
-        counts = sent == len(raw) or not shared and sent > raw.index(b"\n")
+            sent = self._rng.randrange(1, len(raw))
+        counts = sent == len(raw) or not in_batch and sent > raw.index(b"\n")
         if counts:
-            self._returned(idents, calls, status, ran, wait)
+            self._record_return(idents, calls, status, ran, wait)
         if sent == len(raw):
             return raw
-        return Unfinished(raw[:sent], lambda: counts or self._returned(idents, calls, 0, ran, 0.0))
+        return TruncatedResponse(
+            raw[:sent], lambda: counts or self._record_return(idents, calls, 0, ran, 0.0)
+        )
 
-    def _returned(self, idents: list[str], calls: range, status: int, ran: bool, wait: float) -> None:
+    def _record_return(self, idents: list[str], calls: range, status: int, ran: bool, wait: float) -> None:
         for ident, call in zip(idents, calls, strict=True):
-            self._history.add(Returned(steady(), ident, call, status, ran, int(wait * 1e9)))
+            self._history.add(Returned(monotonic_ns(), ident, call, status, ran, int(wait * 1e9)))
 
 
 class Platform:
-    """Discovery with its watch, and the address that takes notices."""
+    """Discovery with its watch requests, and the receiver of notifications."""
 
     def __init__(self, address: Address, history: History) -> None:
         self.address, self._history = address, history
         self._index = 1
         self._rows: dict[str, dict] = {}
-        self._news = asyncio.Condition()
+        self._list_changed = asyncio.Condition()
         self._server: asyncio.Server | None = None
         self.silent = False
         self.watches = 0
 
     async def open(self) -> None:
-        self._server = await serve(self.address, self._asked)
+        self._server = await serve(self.address, self._handle_request)
 
     def close(self) -> None:
         self._server.close()
 
-    async def put(self, host: Host, status: str = "SERVING") -> None:
+    async def update_host(self, host: Host, status: str = "SERVING") -> None:
         self._index += 1
         self._rows[host.name] = {
             "name": host.name,
@@ -300,35 +317,35 @@
             "since_ms": 0,
             "index": self._index,
         }
-        self._history.add(Listed(steady(), host.name, status))
-        async with self._news:
-            self._news.notify_all()
+        self._history.add(Listed(monotonic_ns(), host.name, status))
+        async with self._list_changed:
+            self._list_changed.notify_all()
 
-    def list(self, since: int = -1) -> dict:
+    def build_host_list(self, since: int = -1) -> dict:
         rows = [row for row in self._rows.values() if row["index"] > since]
         return {"index": self._index, "snapshot": since < 0, "endpoints": rows}
 
-    async def _asked(self, line: str, fields: dict[str, str], body: bytes) -> bytes | None:
+    async def _handle_request(self, line: str, fields: dict[str, str], body: bytes) -> bytes | None:
         method, path, _ = line.split(" ")
         if method == "POST":
             for row in body.splitlines():
                 notice = json.loads(row)
-                self._history.add(Noticed(steady(), notice["ref"], notice["result"]))
-            return answer(204)
+                self._history.add(Noticed(monotonic_ns(), notice["ref"], notice["result"]))
+            return build_response(204)
         while self.silent:
             await asyncio.sleep(0.1)
         query = dict(part.split("=") for part in path.partition("?")[2].split("&") if part)
-        since, most = int(query.get("since", -1)), int(query.get("timeout_ms", 0)) / 1000
+        since, timeout = int(query.get("since", -1)), int(query.get("timeout_ms", 0)) / 1000
         self.watches += 1
-        async with self._news:
+        async with self._list_changed:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(max(most, 0.001)):
-                    await self._news.wait_for(lambda: self._index > since)
-        return answer(200, json.dumps(self.list(since)).encode())
+                async with asyncio.timeout(max(timeout, 0.001)):
+                    await self._list_changed.wait_for(lambda: self._index > since)
+        return build_response(200, json.dumps(self.build_host_list(since)).encode())
 
 
 class Clients:
-    """Open loop: packets at random moments, to relays that are up; nobody waits for an answer to go on."""
+    """Sends messages at random times to live relays as an open loop, without waiting for responses."""
 
     def __init__(
         self,
@@ -336,59 +353,61 @@
         groups: int,
         rate: float,
         history: History,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
         self._relays, self._groups, self._rate = relays, groups, rate
-        self._history, self._chance = history, chance
+        self._history, self._rng = history, rng
         self._tasks: set[asyncio.Task[None]] = set()
-        self._links: dict[Address, deque] = {}
-        self._resting: list[asyncio.StreamWriter] = []
+        self._idle_connections: dict[Address, deque] = {}
+        self._idle_writers: list[asyncio.StreamWriter] = []
         self._number = 0
 
     async def run(self, seconds: float) -> None:
         loop = asyncio.get_running_loop()
         end, due = loop.time() + seconds, loop.time()
         while True:
-            due += self._chance.expovariate(self._rate)
+            due += self._rng.expovariate(self._rate)
             if due > end:
                 break
             await asyncio.sleep(max(due - loop.time(), 0))
             if relays := self._relays():
-                name, address = self._chance.choice(relays)
-                task = loop.create_task(self._hand_in(name, address))
+                name, address = self._rng.choice(relays)
+                task = loop.create_task(self._send_message(name, address))
                 self._tasks.add(task)
                 task.add_done_callback(self._tasks.discard)
         if self._tasks:
             await asyncio.wait(self._tasks)
 
-    async def rest(self, name: str, address: Address, count: int) -> None:
-        """Connections that ask nothing until the relay ends them."""
+    async def open_idle_connections(self, name: str, address: Address, count: int) -> None:
+        """Open connections that send nothing until the relay closes them."""
         for _ in range(count):
             with contextlib.suppress(OSError):
                 _, writer = await asyncio.open_connection(*address)
-                self._resting.append(writer)
+                self._idle_writers.append(writer)
 
-    async def _hand_in(self, name: str, address: Address) -> None:
+    async def _send_message(self, name: str, address: Address) -> None:
         self._number += 1
-        ident = f"{self._chance.getrandbits(48):012x}{self._number:04x}"
-        grade = self._chance.choice(SETTINGS["grades"])
-        key = f"k{self._chance.randrange(20)}" if grade.get("one-at-a-time") else ""
+        ident = f"{self._rng.getrandbits(48):012x}{self._number:04x}"
+        grade = self._rng.choice(SETTINGS["grades"])
+        key = f"k{self._rng.randrange(20)}" if grade.get("one-at-a-time") else ""
         fields = {
             "X-Correlation-Id": ident,
             "X-Service-Class": grade["name"],
             "X-Time-Left": f"{grade['give-up-us'] // 1000}m",
-            "X-Addressing": f"dest={self._chance.randrange(self._groups)}",
+            "X-Addressing": f"dest={self._rng.randrange(self._groups)}",
         }
         if key:
             fields |= {"Cookie": f"about={key}", "Idempotency-Key": ident}
-        body = b"x" * self._chance.randrange(20, 400)
+        body = b"x" * self._rng.randrange(20, 400)
         head = "".join(f"{field}: {value}\r\n" for field, value in fields.items())
         raw = f"POST /api HTTP/1.1\r\nHost: x\r\n{head}Content-Length: {len(body)}\r\n\r\n".encode() + body
         status, writer = 0, None
-        idle = self._links.setdefault(address, deque())
-        self._history.add(Offered(steady(), ident, name, grade["name"], key, grade["give-up-us"] * 1000))
+        idle = self._idle_connections.setdefault(address, deque())
+        self._history.add(
+            Offered(monotonic_ns(), ident, name, grade["name"], key, grade["give-up-us"] * 1000)
+        )
         try:
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(CLIENT_TIMEOUT_S):
                 reader, writer = idle.pop() if idle else await asyncio.open_connection(*address)
                 writer.write(raw)
                 message = await read_http(reader)
@@ -401,11 +420,11 @@
         finally:
             if writer:
                 writer.close()
-        self._history.add(Answered(steady(), ident, status))
+        self._history.add(Answered(monotonic_ns(), ident, status))
 
     def close(self) -> None:
-        for idle in self._links.values():
+        for idle in self._idle_connections.values():
             for _, writer in idle:
                 writer.close()
-        for writer in self._resting:
+        for writer in self._idle_writers:
             writer.close()
--- a/millweir/lab/wire.py
+++ b/millweir/lab/wire.py
@@ -1,6 +1,6 @@
-"""A fault proxy for one directed pair of relays: datagrams and connections, on a port of its own.
+"""A fault proxy for the datagrams and connections of one directed pair of relays, on its own port.
 
-What goes from start to end passes here; what comes back on a connection goes by the other pair's faults.
+It carries the traffic from start to end; replies on a connection are subject to the reverse pair's faults.
 """
 
 from __future__ import annotations
@@ -12,33 +12,33 @@
 from dataclasses import dataclass
 
 Address = tuple[str, int]
-QUEUE_MOST = 10_000  # datagrams under way
+MAX_DELAYED_DATAGRAMS = 10_000
 
 
 @dataclass(slots=True)
 class Faults:
-    """How this direction is now; times in seconds, shares from 0 to 1."""
+    """The current faults of this direction; times in seconds, probabilities from 0 to 1."""
 
     loss: float = 0.0
     delay: float = 0.0
-    jitter: float = 0.0  # up to so much more, which reorders
+    jitter: float = 0.0  # maximum additional delay, which reorders datagrams
     duplicate: float = 0.0
     cut: bool = False
-    bytes_second: float = 0.0  # 0: no bound
+    bytes_second: float = 0.0  # 0: unlimited
 
 
 class Wire(asyncio.DatagramProtocol):
-    """One directed pair."""
+    """The proxy of one directed pair."""
 
-    def __init__(self, start: str, end: str, to: Address, chance: random.Random) -> None:
-        self.start, self.end, self._to, self._chance = start, end, to, chance
+    def __init__(self, start: str, end: str, to: Address, rng: random.Random) -> None:
+        self.start, self.end, self._to, self._rng = start, end, to, rng
         self.faults = Faults()
-        self.back: Wire | None = None  # the other direction, for what comes back on connections
+        self.reverse: Wire | None = None  # the other direction, for replies on connections
         self.counts: Counter[str] = Counter()
-        self.taps: list[bytes] | None = None  # where datagrams are recorded, for replays
+        self.recorded: list[bytes] | None = None  # recorded datagrams, to be replayed; None: off
         self._free_at = 0.0
-        self._under_way = 0
-        self._links: set[asyncio.StreamWriter] = set()
+        self._delayed = 0
+        self._writers: set[asyncio.StreamWriter] = set()
         self._transport: asyncio.DatagramTransport | None = None
         self._server: asyncio.Server | None = None
 
@@ -50,46 +50,51 @@
     def close(self) -> None:
         self._transport.close()
         self._server.close()
-        self.sever()
+        self.abort_connections()
 
-    def sever(self) -> None:
-        for writer in list(self._links):
+    def abort_connections(self) -> None:
+        for writer in list(self._writers):
             writer.transport.abort()
 
     # Datagrams.
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
         self.counts["datagrams"] += 1
-        if self.taps is not None and len(self.taps) < 1000:
-            self.taps.append(data)
+        if self.recorded is not None and len(self.recorded) < 1000:
+            self.recorded.append(data)
         faults = self.faults
-        if faults.cut or faults.loss and self._chance.random() < faults.loss or self._under_way > QUEUE_MOST:
+        if (
+            faults.cut
+            or faults.loss
+            and self._rng.random() < faults.loss
+            or self._delayed > MAX_DELAYED_DATAGRAMS
+        ):
             self.counts["dropped"] += 1
             return
         self.forward(data)
-        if faults.duplicate and self._chance.random() < faults.duplicate:
+        if faults.duplicate and self._rng.random() < faults.duplicate:
             self.counts["doubled"] += 1
             self.forward(data)
 
     def forward(self, data: bytes) -> None:
-        wait = self._wait(len(data))
+        wait = self._compute_delay(len(data))
         if wait <= 0:
-            self._pass(data)
+            self._send(data)
         else:
-            self._under_way += 1
-            asyncio.get_running_loop().call_later(wait, self._arrived, data)
+            self._delayed += 1
+            asyncio.get_running_loop().call_later(wait, self._send_delayed, data)
 
-    def _arrived(self, data: bytes) -> None:
-        self._under_way -= 1
-        self._pass(data)
+    def _send_delayed(self, data: bytes) -> None:
+        self._delayed -= 1
+        self._send(data)
 
-    def _pass(self, data: bytes) -> None:
+    def _send(self, data: bytes) -> None:
         if self._transport and not self._transport.is_closing() and not self.faults.cut:
             self._transport.sendto(data, self._to)
 
-    def _wait(self, size: int) -> float:
+    def _compute_delay(self, size: int) -> float:
         faults = self.faults
-        wait = faults.delay + (self._chance.random() * faults.jitter if faults.jitter else 0.0)
+        wait = faults.delay + (self._rng.random() * faults.jitter if faults.jitter else 0.0)
         if faults.bytes_second:
             now = asyncio.get_running_loop().time()
             self._free_at = max(self._free_at, now) + size / faults.bytes_second
@@ -100,29 +105,29 @@
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.counts["connections"] += 1
-        self._links.add(writer)
-        there = None
+        self._writers.add(writer)
+        upstream = None
         try:
-            while self.faults.cut or self.back and self.back.faults.cut:
-                await asyncio.sleep(0.05)  # silence: it never comes up until the way is open
+            while self.faults.cut or self.reverse and self.reverse.faults.cut:
+                await asyncio.sleep(0.05)  # the connection is not accepted upstream until the cut ends
                 if writer.is_closing():
                     return
-            back, there = await asyncio.open_connection(*self._to)
-            await asyncio.gather(self._pump(reader, there), (self.back or self)._pump(back, writer))
+            back, upstream = await asyncio.open_connection(*self._to)
+            await asyncio.gather(self._pump(reader, upstream), (self.reverse or self)._pump(back, writer))
         except (OSError, asyncio.CancelledError):
             self.counts["connections_failed"] += 1
         finally:
-            self._links.discard(writer)
-            for link in (writer, there):
-                if link:
-                    link.close()
+            self._writers.discard(writer)
+            for writer_to_close in (writer, upstream):
+                if writer_to_close:
+                    writer_to_close.close()
 
     async def _pump(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(OSError):
             while data := await reader.read(65536):
                 while self.faults.cut:
                     await asyncio.sleep(0.05)
-                await asyncio.sleep(self._wait(len(data)))
+                await asyncio.sleep(self._compute_delay(len(data)))
                 writer.write(data)
                 await writer.drain()
             if writer.can_write_eof():
--- a/tests/lab/test_checker.py
+++ b/tests/lab/test_checker.py
@@ -1,4 +1,4 @@
-"""The checker of histories: each rule is seen broken where it is, and not where it isn't."""
+"""The history checker reports each rule's violations, and none in valid histories."""
 
 import asyncio
 import random
@@ -22,11 +22,11 @@
 from millweir.lab.standins import Host
 
 S = 1_000_000_000
-TERMS = Rig.terms()
-OVER = 100 * S
+TERMS = Rig.build_terms()
+CHECKED_AT = 100 * S
 
 
-def packet(ident="p", at=0, profile="status", key="", relay="r1", status=202):
+def accepted_message(ident="p", at=0, profile="status", key="", relay="r1", status=202):
     return [Offered(at, ident, relay, profile, key, 6 * S), Answered(at + 1, ident, status)]
 
 
@@ -37,104 +37,127 @@
     ]
 
 
-def rules(*parts):
+def violated_rules(*parts):
     rows = sorted(
         (row for part in parts for row in (part if isinstance(part, list) else [part])),
         key=lambda row: row.at,
     )
-    return sorted(check_rules(History(rows), TERMS, OVER).broken)
+    return sorted(check_rules(History(rows), TERMS, CHECKED_AT).broken)
 
 
-FINE = {
-    "delivered": (packet(), call()),
-    "ended by notice": (packet(), Noticed(2 * S, "p", "dead")),
-    "refused": (packet(status=503),),
-    "replayable twice": (packet(), call(status=500), call(at=2 * S, number=2)),
-    "single-use again after it never ran": (
-        packet(profile="charge"),
+VALID = {
+    "delivered": (accepted_message(), call()),
+    "ended by a notification": (accepted_message(), Noticed(2 * S, "p", "dead")),
+    "refused": (accepted_message(status=503),),
+    "idempotent twice": (accepted_message(), call(status=500), call(at=2 * S, number=2)),
+    "non-idempotent again after it never ran": (
+        accepted_message(profile="charge"),
         call(status=429),
         call(at=2 * S, number=2),
     ),
-    "referenced again in time": (packet(profile="order"), call(status=500), call(at=3 * S, number=2)),
-    "within the grace": (packet(), Listed(S // 2, "h", "DRAINING"), call()),
-    "listed again": (packet(), Listed(0, "h", "DRAINING"), Listed(S // 2, "h", "SERVING"), call()),
-    "in order": (packet("a", 0, "order", "k"), packet("b", 1, "order", "k"), call("a"), call("b", 2 * S, 2)),
-    "a wait told to another relay": (
-        packet("a"),
-        packet("b", relay="r2"),
+    "idempotent by key again in time": (
+        accepted_message(profile="order"),
+        call(status=500),
+        call(at=3 * S, number=2),
+    ),
+    "within the grace period": (accepted_message(), Listed(S // 2, "h", "DRAINING"), call()),
+    "listed again": (accepted_message(), Listed(0, "h", "DRAINING"), Listed(S // 2, "h", "SERVING"), call()),
+    "in order": (
+        accepted_message("a", 0, "order", "k"),
+        accepted_message("b", 1, "order", "k"),
+        call("a"),
+        call("b", 2 * S, 2),
+    ),
+    "a retry-after sent to another relay": (
+        accepted_message("a"),
+        accepted_message("b", relay="r2"),
         call("a", status=429, wait=S),
         call("b", S + S // 2, 2),
         call("a", 3 * S, 3),
     ),
-    "after a wait": (packet(), call(status=429, wait=S), call(at=3 * S, number=2)),
-    "a restart holds its end up": (
-        packet(),
+    "after a retry-after": (accepted_message(), call(status=429, wait=S), call(at=3 * S, number=2)),
+    "a restart delays the outcome": (
+        accepted_message(),
         Struck(S, "kill", "r1"),
         Ready(8 * S, "r1"),
         Noticed(9 * S, "p", "dead"),
     ),
-    "lost with its machine": (packet(), Struck(S, "lose", "r1"), Ready(8 * S, "r1")),
+    "lost with its machine": (accepted_message(), Struck(S, "lose", "r1"), Ready(8 * S, "r1")),
 }
-BROKEN = {
-    "no end": (1, (packet(),)),
-    "ended twice": (1, (packet(), Noticed(S, "p", "dead"), Noticed(2 * S, "p", "dead"))),
-    "ended late": (1, (packet(), Noticed(8 * S, "p", "dead"))),
-    "no end after a restart": (1, (packet(), Struck(S, "kill", "r1"), Ready(8 * S, "r1"))),
-    "single-use twice": (2, (packet(profile="charge"), call(status=500), call(at=2 * S, number=2))),
-    "single-use again after silence": (
+INVALID = {
+    "no outcome": (1, (accepted_message(),)),
+    "ended twice": (1, (accepted_message(), Noticed(S, "p", "dead"), Noticed(2 * S, "p", "dead"))),
+    "ended late": (1, (accepted_message(), Noticed(8 * S, "p", "dead"))),
+    "no outcome after a restart": (1, (accepted_message(), Struck(S, "kill", "r1"), Ready(8 * S, "r1"))),
+    "non-idempotent twice": (
         2,
-        (packet(profile="charge"), Called(S, "p", "h", 1), call(at=2 * S, number=2)),
+        (accepted_message(profile="charge"), call(status=500), call(at=2 * S, number=2)),
+    ),
+    "non-idempotent again after silence": (
+        2,
+        (accepted_message(profile="charge"), Called(S, "p", "h", 1), call(at=2 * S, number=2)),
+    ),
+    "idempotent by key too late": (
+        2,
+        (accepted_message(profile="order"), call(status=500), call(at=7 * S, number=2)),
     ),
-    "referenced too late": (2, (packet(profile="order"), call(status=500), call(at=7 * S, number=2))),
     "never offered": (2, (call(),)),
-    "to a drained host": (3, (packet(), Listed(0, "h", "DRAINING"), call())),
-    "pushed over": (4, (Fallen(S, "h", 40),)),
+    "to a drained host": (3, (accepted_message(), Listed(0, "h", "DRAINING"), call())),
+    "overloaded": (4, (Fallen(S, "h", 40),)),
     "out of order": (
         5,
-        (packet("a", 0, "order", "k"), packet("b", 1, "order", "k"), call("b"), call("a", 2 * S, 2)),
+        (
+            accepted_message("a", 0, "order", "k"),
+            accepted_message("b", 1, "order", "k"),
+            call("b"),
+            call("a", 2 * S, 2),
+        ),
     ),
-    "before the earlier one is back": (
+    "before the earlier one returned": (
         5,
         (
-            packet("a", 0, "order", "k"),
-            packet("b", 1, "order", "k"),
+            accepted_message("a", 0, "order", "k"),
+            accepted_message("b", 1, "order", "k"),
             call("a", took=S),
             call("b", S + S // 2, 2),
         ),
     ),
-    "within a wait": (6, (packet(), call(status=429, wait=S), call(at=S + S // 2, number=2))),
+    "within a retry-after": (
+        6,
+        (accepted_message(), call(status=429, wait=S), call(at=S + S // 2, number=2)),
+    ),
 }
 
 
-@pytest.mark.parametrize("name", FINE)
-def test_what_is_fine(name):
-    assert rules(*FINE[name]) == []
+@pytest.mark.parametrize("name", VALID)
+def test_valid_history_breaks_no_rule(name):
+    assert violated_rules(*VALID[name]) == []
 
 
-@pytest.mark.parametrize("name", BROKEN)
-def test_what_is_broken(name):
-    rule, parts = BROKEN[name]
-    assert rule in rules(*parts)
+@pytest.mark.parametrize("name", INVALID)
+def test_violation_is_reported(name):
+    rule, parts = INVALID[name]
+    assert rule in violated_rules(*parts)
 
 
-def test_a_ledger_is_read_as_it_was_written(tmp_path):
-    rows = [row for part in FINE["delivered"] for row in part] + [Struck(5, "kill", "r1", True)]
+def test_a_history_is_read_as_it_was_written(tmp_path):
+    rows = [row for part in VALID["delivered"] for row in part] + [Struck(5, "kill", "r1", True)]
     History(rows).write(tmp_path / "l")
     assert History.read(tmp_path / "l").rows == rows
 
 
-def test_a_cold_host_falls_when_it_is_pushed():
-    """The stand-in's own side of rule 4: few calls warm it, many make it fall."""
+def test_a_recovering_host_fails_when_it_is_overloaded():
+    """The stand-in of rule 4: a recovering host serves a few calls and fails under many."""
 
     async def run(calls):
         history = History()
         host = Host("h0", 0, 20.0, ("127.0.0.1", 1), history, random.Random(1), [0])
-        host.hang(True)
-        host.hang(False)
+        host.set_hung(True)
+        host.set_hung(False)
         for number in range(calls):
-            call = asyncio.create_task(host._asked("", {"x-correlation-id": str(number)}, b""))
+            call = asyncio.create_task(host._handle_call("", {"x-correlation-id": str(number)}, b""))
             await asyncio.sleep(0)
             call.cancel()
-        return list(history.of(Fallen))
+        return list(history.select(Fallen))
 
     assert not asyncio.run(run(15)) and asyncio.run(run(60))
--- a/tests/lab/test_scale_membership.py
+++ b/tests/lab/test_scale_membership.py
@@ -224,7 +224,7 @@
     fleet.run(3 * SECOND)
     fleet.nodes[3].kill()
     fleet.run(30 * SECOND)
-    assert {node.core.members["m3"].status for node in fleet.living} == {MemberStatus.GONE}
+    assert {node.core.members["m3"].status for node in fleet.live_nodes} == {MemberStatus.GONE}
 
 
 def test_no_full_state_is_requested_while_updates_are_pending():
--- a/tests/lab/test_slow_start.py
+++ b/tests/lab/test_slow_start.py
@@ -1,9 +1,9 @@
-"""A fleet of real relays and destinations that go away and come back cold: nobody may push them over.
+"""A fleet of relay processes does not overload destinations that recover from an outage (slow start).
 
 Issue 47: 46 relays, each with a message or two for a destination whose hosts refuse connections.  Issue 53: a
-destination that refuses calls and tells all the same moment of its return, relays killed and started again
-before it.  What counts is the sum over the fleet, so each relay has to keep to its part of the budget
-from its first failed or refused call on, before it can know that this is an outage.
+destination that refuses calls with a retry-after up to the same moment for all relays, which are killed and
+restarted before it.  The sum over the fleet counts, so each relay has to keep to its share of the budget from
+its first failed or refused call on, before it can know that this is an outage.
 """
 
 import asyncio
@@ -60,7 +60,7 @@
 )
 
 
-def play(scenario, seed, folder):
+def run_scenario(scenario, seed, folder):
     async def run():
         async with asyncio.timeout(150):
             async with Rig(scenario, seed, folder) as rig:
@@ -70,13 +70,13 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_a_fleet_of_processes_does_not_push_over_what_comes_back_cold(seed, tmp_path):
-    played = play(OUTAGE, seed, tmp_path / "rig")
+def test_a_fleet_of_processes_does_not_overload_recovering_destinations(seed, tmp_path):
+    played = run_scenario(OUTAGE, seed, tmp_path / "rig")
     assert played.verdict.counts["taken"] > 400 and not played.failures, played
     assert not played.verdict.broken, played.verdict
 
 
-def test_a_fleet_restarted_before_a_told_return_does_not_push_over_what_comes_back(tmp_path):
-    played = play(SHUT, 1, tmp_path / "rig")
+def test_a_fleet_restarted_before_the_end_of_a_retry_after_does_not_overload_destinations(tmp_path):
+    played = run_scenario(SHUT, 1, tmp_path / "rig")
     assert played.verdict.counts["taken"] > 300 and not played.failures, played
     assert not played.verdict.broken, played.verdict
--- a/tests/lab/test_soak.py
+++ b/tests/lab/test_soak.py
@@ -1,9 +1,9 @@
-"""A short soak: real relays under composed faults, always the same seeds; fifty and more are run by hand.
+"""A short soak test: relay processes under random faults with fixed seeds; fifty and more are run by hand.
 
     millweir lab cluster examples/scenarios/soak.toml --seed N
 
-Seed 1 finds a relay that waits for shared calls past the time of their first message, and one that takes half
-a first line for a delivery (shown with both guards taken out).
+Seed 1 detects a relay that waits for batch calls past the deadline of their first message, and one that takes
+half a first line for a delivery (shown with both guards removed).
 """
 
 import asyncio
@@ -25,5 +25,5 @@
                 return await rig.play()
 
     played = asyncio.run(play())
-    assert played.fine, (played, f"millweir lab cluster examples/scenarios/{name}.toml --seed {seed}")
+    assert played.passed, (played, f"millweir lab cluster examples/scenarios/{name}.toml --seed {seed}")
     assert played.verdict.counts["delivered"] > 800, played.verdict
--- a/tests/members/cases.py
+++ b/tests/members/cases.py
@@ -50,7 +50,7 @@
 def wait_until_gone(fleet, name, among=None, limit=90 * SECOND):
     """Runs until it is gone or left in the views of all living members; returns the seconds that took."""
     started_at = fleet.now
-    viewers = [node for node in (among or fleet.living) if node.name != name]
+    viewers = [node for node in (among or fleet.live_nodes) if node.name != name]
     while any(node.core.members[name].active for node in viewers):
         fleet.run(fleet.now + SECOND // 4)
         assert fleet.now - started_at < limit, (name, views(fleet))
@@ -225,7 +225,7 @@
     """All members restart at once, with only the saved incarnation and the seeds."""
     fleet = start_fleet(make)
     before = {node.name: node.core.me.incarnation for node in fleet.nodes}
-    incarnations = {node.name: max(node.kept, before[node.name]) for node in fleet.nodes}
+    incarnations = {node.name: max(node.saved_incarnation, before[node.name]) for node in fleet.nodes}
     for node in fleet.nodes:
         node.kill()
     fleet.run(fleet.now + SECOND)
@@ -253,7 +253,7 @@
     """Another process of that name at another address."""
     twin = fleet.nodes[number]
     host, port = fleet.address(twin)
-    record = MemberRecord(name, fleet.chance.getrandbits(62), 0, ReportedState.ALIVE, host, port, name, 1, 2)
+    record = MemberRecord(name, fleet.rng.getrandbits(62), 0, ReportedState.ALIVE, host, port, name, 1, 2)
     return twin, record
 
 
@@ -310,24 +310,24 @@
     """Datagrams of an earlier process run, delivered again after the restart, change nothing."""
     fleet = start_fleet(make)
     old, sent = fleet.nodes[3], []
-    carry = fleet.carry
+    carry = fleet.transmit
 
     def record_and_carry(node, to, datagram):
         if node is old:
             sent.append((to, datagram))
         carry(node, to, datagram)
 
-    fleet.carry = record_and_carry
+    fleet.transmit = record_and_carry
     fleet.run(fleet.now + 10 * SECOND)
     old.kill()
     wait_until_gone(fleet, "m3")
-    fleet.start(old, old.kept or 1)
+    fleet.start(old, old.saved_incarnation or 1)
     assert fleet.until_agreed(10 * SECOND) >= 0
-    fleet.carry = carry
+    fleet.transmit = carry
     current = [node.core.members["m3"].record for node in fleet.nodes if node is not old]
     fleet.changes.clear()
     for to, datagram in sent:
-        fleet.at[to].get(decode_datagram(encode(datagram)))
+        fleet.at[to].receive_datagram(decode_datagram(encode(datagram)))
         assert fleet.at[to].core.members.get("m3", Missing).record in (*current, None)
     fleet.run(fleet.now + 20 * SECOND)
     assert [node.core.members["m3"].record for node in fleet.nodes if node is not old] == current
@@ -348,10 +348,10 @@
                 node.pause()
             if fleet.now < until or node.paused:
                 duration = rng.uniform(1.5, 2.5) if node.paused else 0.15
-                fleet.later(round(duration * SECOND), toggle_pause, node)
+                fleet.schedule(round(duration * SECOND), toggle_pause, node)
 
         for node in fleet.nodes:
-            fleet.later(round(rng.random() * SECOND), toggle_pause, node)
+            fleet.schedule(round(rng.random() * SECOND), toggle_pause, node)
         fleet.run(until + 5 * SECOND)
         assert not gone_reports(fleet), gone_reports(fleet)
         assert fleet.until_agreed(30 * SECOND) >= 0, views(fleet)
@@ -361,8 +361,11 @@
     """Updates that do not fit into one datagram all arrive, in datagrams of limited size."""
     fleet = Fleet(60, 2, make=make, known=False)
     sizes = []
-    carry = fleet.carry
-    fleet.carry = lambda node, to, datagram: (sizes.append(len(encode(datagram))), carry(node, to, datagram))
+    carry = fleet.transmit
+    fleet.transmit = lambda node, to, datagram: (
+        sizes.append(len(encode(datagram))),
+        carry(node, to, datagram),
+    )
     assert fleet.until_agreed(60 * SECOND) >= 0
     assert 600 < max(sizes) <= fleet.rules.max_datagram_bytes, max(sizes)
 
@@ -404,8 +407,11 @@
         node.core = make(node, fleet.rules, random.Random(5), fleet.now, old, [fleet.address(fleet.nodes[0])])
         node.core.time_passed(fleet.now)
     assert fleet.until_agreed(20 * SECOND) >= 0, views(fleet)
-    carry = fleet.carry
-    fleet.carry = lambda node, to, datagram: (carried.append((node, to, datagram)), carry(node, to, datagram))
+    carry = fleet.transmit
+    fleet.transmit = lambda node, to, datagram: (
+        carried.append((node, to, datagram)),
+        carry(node, to, datagram),
+    )
     fleet.cut = lambda start, end: (start, end) == ("m0", "m1")
     fleet.run(fleet.now + 60 * SECOND)
     old = {fleet.address(node) for node in fleet.nodes[3:]}
@@ -459,7 +465,7 @@
     fleet.nodes[7].kill()
     while fleet.nodes[0].core.members["m7"].active:
         fleet.run(fleet.now + SECOND // 4)
-        assert max(node.core.awareness for node in fleet.living) <= 1
+        assert max(node.core.awareness for node in fleet.live_nodes) <= 1
 
 
 def timers_fire_early(make):
@@ -479,7 +485,7 @@
     def update_every_second():
         core = fleet.nodes[4].core
         core._raise_incarnation(fleet.now, core.me.incarnation + 1)
-        fleet.later(SECOND, update_every_second)
+        fleet.schedule(SECOND, update_every_second)
 
     update_every_second()
     fleet.cut = lambda start, end: "m3" in (start, end)
@@ -496,7 +502,7 @@
     for seed in range(6):
         fleet = start_fleet(make, seed=seed)
         fleet.lost_from = 0
-        carry = fleet.carry
+        carry = fleet.transmit
 
         def lose_for_a_second(node, to, datagram, fleet=fleet, carry=carry):
             if node.name != "m0" or fleet.at[to].name != "m1":
@@ -507,7 +513,7 @@
             if not fleet.lost_from or fleet.now > fleet.lost_from + SECOND:
                 carry(node, to, datagram)
 
-        fleet.carry = lose_for_a_second
+        fleet.transmit = lose_for_a_second
         fleet.run(fleet.now + 30 * SECOND)
         assert fleet.lost_from
         assert not [change for _, _, change in fleet.changes if change.after is MemberStatus.PATH_DOWN]
--- a/tests/store/checks.py
+++ b/tests/store/checks.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from millweir.lab.register import Histories, Promises
+from millweir.lab.register import Invariants, RandomFaultCluster
 from millweir.store.core import SECOND, RequestRejected, Role, Rules
 from millweir.store.entries import (
     Entry,
@@ -41,7 +41,7 @@
         ]
         self.cores = [None] * size
         self.in_transit = defaultdict(list)
-        self.promises, self.reads = Promises(), []
+        self.promises, self.reads = Invariants(), []
         for member in range(size):
             self.restart(member)
 
@@ -61,9 +61,9 @@
         for message in work.messages:
             self.in_transit[member, self.ids.index(message.receiver)].append(message)
         for entry in work.committed:
-            self.promises.did(entry)
+            self.promises.record_applied(entry)
         self.reads += work.reads
-        self.promises.led(self.cores[member])
+        self.promises.record_leader(self.cores[member])
 
     def deliver(self, sender, receiver):
         """Deliver the messages in transit from one member to another, and no others."""
@@ -299,7 +299,7 @@
     """Random histories: crashes, partitions, lost data, membership changes, snapshots, duplicate messages."""
     done = answered = 0
     for seed in range(first, first + count):
-        history = Histories(seed, 3 if seed % 2 else 5, core_class).run(steps)
+        history = RandomFaultCluster(seed, 3 if seed % 2 else 5, core_class).run(steps)
         done, answered = done + history.done, answered + history.answered
     return done, answered
 
--- a/tests/store/test_core.py
+++ b/tests/store/test_core.py
@@ -4,7 +4,7 @@
 from store.checks import CHECKS, check_random_histories
 from store.mutants import MUTANTS, broken
 
-from millweir.lab.register import Bounds, explore
+from millweir.lab.register import Bounds, explore_states
 from millweir.store.core import Core
 
 
@@ -19,7 +19,7 @@
 
 
 def test_invariants_hold_in_every_history_within_small_bounds():
-    states, complete = explore(bounds=Bounds(terms=1, proposals=1, words=3))
+    states, complete = explore_states(bounds=Bounds(terms=1, proposals=1, messages=3))
     assert complete and states > 1000
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -87,7 +87,7 @@
     fleet = sys.modules["fleet"] = importlib.util.module_from_spec(spec)
     spec.loader.exec_module(fleet)
     end = "link-end peer=s-1/10.1.0.1:7070 reason="
-    account = fleet.read(
+    account = fleet.count_lines(
         [
             (
                 "n0",
